--- /dev/null
+++ b/crates/pointvane-config/tests/file_formats.rs
@@ -0,0 +1,150 @@
+//! Keys, defaults and packed form of all files stay as they are.
+
+use {
+    googletest::prelude::*,
+    pointvane_config::{NodeOptions, pack, read_directory, read_node_options, read_settings, unpack},
+    std::{fs, path::PathBuf},
+};
+
+/// A packed file set with all defaults, as it is published.
+const PACKED: &str = include_str!("golden/packed.json");
+/// The settings that a file with only what must be there gives.
+const SETTINGS_DEFAULTS: &str = include_str!("golden/settings_defaults.txt");
+/// The settings that a file with every key gives.
+const SETTINGS_WHOLE: &str = include_str!("golden/settings_whole.txt");
+
+const SETTINGS_LEAST: &str = r#"[vm]
+name = "entry-1"
+data_centre = "ub-1"
+address = "10.0.0.1"
+[platform]
+address = "10.0.0.100:8500"
+configuration_key = "c"
+vm_list_key = "v"
+"#;
+
+const SETTINGS_ALL: &str = r#"[vm]
+name = "entry-9"
+data_centre = "ub-2"
+address = "10.0.0.9"
+[platform]
+address = "10.0.0.100:8500"
+configuration_key = "c"
+vm_list_key = "v"
+readers = 5
+[mesh]
+seeds = ["10.0.0.2:7001"]
+probe_interval_ms = 700
+suspect_ms = 2500
+[entry]
+port = 7100
+connections_max = 900
+head_limit_bytes = 9000
+head_timeout_ms = 4000
+stop_wait_ms = 5000
+worker_threads = 3
+[control]
+port = 7101
+[locate]
+port = 7102
+addresses_max = 4
+[operator]
+entry_port = 7110
+control_port = 7111
+locate_port = 7112
+[log]
+level = "warning"
+format = "json"
+"#;
+
+const OPTIONS_ALL: &str = r#"[choice]
+policy = "random"
+ask_first = 3
+ask_more = 5
+[admission]
+target_share = 2.0
+rank_step = 0.5
+[repeats]
+hedge = false
+[lines]
+well_every = 7
+wrong_per_s = 8
+beliefs_per_s = 9
+"#;
+
+const FLEET: &str = "revision = 3\nentry_vms_max = 18\n";
+const SERVICE: &str = r#"name = "dispatch"
+path_prefix = "/dispatch"
+slots = 6
+
+[[upstream]]
+name = "dispatch-1"
+data_centre = "ub-1"
+address = "10.0.0.7:8080"
+"#;
+
+/// A file or directory of one test, gone with it.
+struct Scratch(PathBuf);
+
+impl Scratch {
+    fn new(name: &str) -> Self {
+        let directory = format!("pointvane-formats-{}-{name}", std::process::id());
+        let directory = std::env::temp_dir().join(directory);
+        fs::create_dir_all(&directory).unwrap();
+        Self(directory)
+    }
+
+    fn file(&self, name: &str, text: &str) -> PathBuf {
+        let file = self.0.join(name);
+        fs::create_dir_all(file.parent().unwrap()).unwrap();
+        fs::write(&file, text).unwrap();
+        file
+    }
+}
+
+impl Drop for Scratch {
+    fn drop(&mut self) {
+        _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+/// The values of a type's debug form in order, without the names of types and fields, which may change.
+fn values(shown: &impl std::fmt::Debug) -> String {
+    let text = format!("{shown:#?}");
+    let value = |line: &str| {
+        let value = line.split_once(": ").map_or(line, |(_, value)| value).trim();
+        let opens = value.ends_with(['{', '(']);
+        if opens { value.chars().next_back().map(String::from).unwrap_or_default() } else { value.into() }
+    };
+    text.lines().map(|line| value(line) + "\n").collect()
+}
+
+#[gtest]
+fn every_key_of_the_settings_is_read_and_the_defaults_stay() {
+    let scratch = Scratch::new("settings");
+    let shown = |text| values(&read_settings(&scratch.file("vm.toml", text)).unwrap());
+    expect_that!(shown(SETTINGS_LEAST), eq(SETTINGS_DEFAULTS));
+    expect_that!(shown(SETTINGS_ALL), eq(SETTINGS_WHOLE));
+}
+
+#[gtest]
+fn every_key_of_the_options_is_read_and_the_defaults_stay() {
+    let scratch = Scratch::new("options");
+    let read = |text| read_node_options(&scratch.file("node.toml", text)).unwrap();
+    expect_that!(read(""), eq(NodeOptions::default()));
+    let options = format!("{:?}", read(OPTIONS_ALL));
+    for value in ["Random", "ask_first: 3", "ask_more: 5", "2.0", "0.5", "false", ": 7", ": 8", ": 9"] {
+        expect_that!(options, contains_substring(value));
+    }
+}
+
+#[gtest]
+fn a_packed_file_set_has_the_bytes_that_it_always_had_and_is_read() {
+    let scratch = Scratch::new("packed");
+    scratch.file("fleet.toml", FLEET);
+    scratch.file("services/dispatch.toml", SERVICE);
+    let configuration = read_directory(&scratch.0).unwrap();
+    let packed = String::from_utf8(pack(&configuration).unwrap()).unwrap();
+    expect_that!(packed, eq(PACKED.trim_end()));
+    expect_that!(unpack(PACKED.trim_end().as_bytes()).unwrap().configuration, eq(&configuration));
+}
--- a/crates/pointvane-core/tests/core.rs
+++ b/crates/pointvane-core/tests/core.rs
@@ -2,7 +2,9 @@
 
 use {
     googletest::prelude::*,
-    pointvane_core::{ErrorKind, IdempotencyKey, Incarnation, KeyError, LoadReport, Outcome},
+    pointvane_core::{
+        AnswerRow, Class, ErrorKind, IdempotencyKey, Incarnation, KeyError, LoadReport, Outcome, header,
+    },
 };
 
 #[gtest]
@@ -52,3 +54,57 @@
         expect_that!(LoadReport::parse(text), none());
     }
 }
+
+#[gtest]
+fn the_table_of_error_kinds_stays_as_it_is() {
+    let row = |row: &AnswerRow| {
+        let retry = if row.retry_after { " retry-after" } else { "" };
+        format!("{} {} {}{retry}", row.name, row.status, row.outcome.as_str())
+    };
+    let rows: Vec<String> = ErrorKind::table().iter().map(row).collect();
+    let expected = [
+        "bad-request 400 not-run",
+        "no-such-service 404 not-run",
+        "key-missing 428 not-run",
+        "key-invalid 400 not-run",
+        "key-expired 410 unknown",
+        "key-owner-gone 409 unknown",
+        "keys-full 503 unknown retry-after",
+        "answer-not-kept 409 unknown",
+        "overloaded 503 not-run retry-after",
+        "deadline-passed 504 not-run",
+        "no-upstream 503 not-run retry-after",
+        "upstream-unreachable 503 not-run retry-after",
+        "upstream-broken 502 unknown",
+        "upstream-timeout 504 unknown",
+        "stopping 503 not-run retry-after",
+        "not-ready 503 not-run retry-after",
+    ];
+    expect_that!(rows, eq(&expected.map(String::from).to_vec()));
+}
+
+#[gtest]
+fn the_headers_of_the_three_programs_keep_their_names() {
+    let names = [
+        header::CLASS,
+        header::DEADLINE_MS,
+        header::KEY,
+        header::FORWARDED_BY,
+        header::OUTCOME,
+        header::ERROR,
+        header::LOAD,
+    ];
+    let expected = [
+        "pointvane-class",
+        "pointvane-deadline-ms",
+        "idempotency-key",
+        "pointvane-forwarded-by",
+        "pointvane-outcome",
+        "pointvane-error",
+        "endpoint-load-metrics",
+    ];
+    expect_that!(names, eq(expected));
+    let report = LoadReport { in_flight: 7, draining: true };
+    expect_that!(report.to_string(), eq("TEXT named_metrics.in_flight=7,named_metrics.draining=1"));
+    expect_that!([Class::Urgent, Class::Routine].map(Class::as_str), eq(["urgent", "routine"]));
+}
--- /dev/null
+++ b/crates/pointvane-telemetry/tests/event_format.rs
@@ -0,0 +1,151 @@
+//! Names and fields of all events stay as they are, in `/events` and in log lines.
+
+use {
+    googletest::prelude::*,
+    pointvane_core::{Name, VmState},
+    pointvane_telemetry::{Event, EventKind, EventPage, Program},
+};
+
+/// One event a line, as JSON.
+const GOLDEN: &str = include_str!("golden/events.txt");
+
+fn state_changes() -> Vec<EventKind> {
+    let (service, upstream) = (Name::from("board"), Name::from("i-7"));
+    vec![
+        EventKind::Started,
+        EventKind::Stopping { in_flight: 3 },
+        EventKind::Stopped { cut: 1 },
+        EventKind::ConfigurationAccepted { revision: 4, index: 9 },
+        EventKind::ConfigurationRefused { revision: 3, index: 9, reason: "older".into() },
+        EventKind::MemberChanged { member: "node-2".into(), state: VmState::Live },
+        EventKind::MemberChanged { member: "node-2".into(), state: VmState::Suspect },
+        EventKind::MemberChanged { member: "node-2".into(), state: VmState::Leaving },
+        EventKind::MemberChanged { member: "node-2".into(), state: VmState::Dead },
+        EventKind::ReaderBegan,
+        EventKind::ReaderEnded,
+        EventKind::PlatformLost,
+        EventKind::PlatformBack,
+        EventKind::PlatformWentBack { from: 9, to: 2 },
+        EventKind::UpstreamLeaving { service: service.clone(), upstream: upstream.clone() },
+        EventKind::UpstreamStaying { service: service.clone(), upstream: upstream.clone() },
+        EventKind::UpstreamEjected { service: service.clone(), upstream: upstream.clone() },
+        EventKind::UpstreamReturned { service: service.clone(), upstream: upstream.clone() },
+        EventKind::OverloadBegan { service: service.clone() },
+        EventKind::OverloadEnded { service: service.clone() },
+        EventKind::FeedLost,
+        EventKind::FeedBack,
+        EventKind::UpstreamTold { service, upstream: upstream.clone(), draining: true, sequence: 5 },
+        EventKind::UpstreamGone { upstream },
+        EventKind::PlatformRead { revision: 7, version: 3, upstreams: 36 },
+        EventKind::StateTold { peer: "10.0.0.1:7660".parse().unwrap(), revision: 7, age_ms: 12 },
+        EventKind::ItemRefused { key: "servers/x".into(), problem: "no address".into() },
+        EventKind::WatchRenewed { revision: 7 },
+        EventKind::Reloaded { changed: true },
+        EventKind::ReloadRefused { problem: "no file".into() },
+        EventKind::LinesLeftOut { count: 8 },
+    ]
+}
+
+fn decisions_on_requests() -> Vec<EventKind> {
+    let upstream = Name::from("i-7");
+    vec![
+        EventKind::AttemptEnded {
+            request: "r-1".into(),
+            service: "board".into(),
+            upstream: upstream.clone(),
+            outcome: "answered".into(),
+            hedge: true,
+            cost_percent: 130,
+            running: 4,
+            waiting: 1,
+            pace_percent: 110,
+            load_age_ms: 14,
+            choose_ms: 3,
+            took_ms: 40,
+        },
+        EventKind::RequestWouldBeLate {
+            request: "r-1".into(),
+            upstream: upstream.clone(),
+            cost_percent: 700,
+            running: 4,
+            waiting: 9,
+            pace_percent: 300,
+            load_age_ms: 14,
+            expected_ms: 900,
+            spent_ms: 5,
+        },
+        EventKind::AttemptGivenUp { request: "r-1".into(), upstream, after_ms: 700 },
+        EventKind::RequestAnswered {
+            request: "r-1".into(),
+            route: "read".into(),
+            version: 3,
+            status: 200,
+            attempts: 2,
+            spent_ms: 41,
+        },
+        EventKind::RequestRefused {
+            request: "r-1".into(),
+            route: Some("read".into()),
+            version: 3,
+            error: "overloaded".into(),
+            outcome: "not-run".into(),
+            attempts: 0,
+            spent_ms: 30,
+            come_back_ms: Some(200),
+        },
+        EventKind::RequestRefused {
+            request: "r-1".into(),
+            route: None,
+            version: 0,
+            error: "not-ready".into(),
+            outcome: "not-run".into(),
+            attempts: 0,
+            spent_ms: 0,
+            come_back_ms: None,
+        },
+    ]
+}
+
+#[gtest]
+fn every_event_is_written_as_it_always_was_and_reads_back() {
+    let mut lines = String::new();
+    for (sequence, kind) in state_changes().into_iter().chain(decisions_on_requests()).enumerate() {
+        let event =
+            Event { sequence: sequence as u64, at_ms: 7, vm: "vm-1".into(), program: Program::Node, kind };
+        let text = serde_json::to_string(&event).unwrap();
+        if !matches!(event.kind, EventKind::UpstreamTold { .. }) {
+            expect_that!(serde_json::from_str::<Event>(&text).unwrap(), eq(&event), "{text}");
+        }
+        lines += &format!("{text}\n");
+    }
+    expect_that!(lines, eq(GOLDEN));
+}
+
+/// Red, see KNOWN-RED.txt: the event's own field is named like the count of events beside it.
+#[gtest]
+fn an_upstream_told_event_reads_back() {
+    let kind = EventKind::UpstreamTold {
+        service: "board".into(),
+        upstream: "i-7".into(),
+        draining: false,
+        sequence: 5,
+    };
+    let event = Event { sequence: 1, at_ms: 7, vm: "vm-1".into(), program: Program::Node, kind };
+    let text = serde_json::to_string(&event).unwrap();
+    expect_that!(serde_json::from_str::<Event>(&text), ok(eq(&event)), "{text}");
+}
+
+#[gtest]
+fn programs_and_the_page_of_events_keep_their_names() {
+    let programs = [Program::Entry, Program::Control, Program::Locate, Program::Node];
+    expect_that!(programs.map(Program::as_str), eq(["entry", "control", "locate", "node"]));
+    let page = EventPage { clock_ms: 1, dropped: 2, events: Vec::new() };
+    expect_that!(serde_json::to_string(&page).unwrap(), eq(r#"{"clock_ms":1,"dropped":2,"events":[]}"#));
+}
+
+#[gtest]
+fn events_of_requests_are_logged_but_not_kept() {
+    expect_that!(decisions_on_requests().iter().all(EventKind::is_of_a_request), eq(true));
+    let kept = state_changes().into_iter().filter(|kind| !kind.is_of_a_request());
+    expect_that!(kept.count(), eq(state_changes().len() - 1));
+}
