--- a/standins/src/mesh_run.rs
+++ b/crates/pointvane-mesh/tests/many/mod.rs
@@ -24,8 +24,6 @@
     loss: f64,
     rng: StdRng,
     now_us: u64,
-    /// Datagrams sent so far.
-    pub datagrams: u64,
     /// Bytes sent so far, IP and UDP heads included.
     pub bytes: u64,
 }
@@ -42,7 +40,6 @@
             loss,
             rng: StdRng::seed_from_u64(seed),
             now_us: TICK_US,
-            datagrams: 0,
             bytes: 0,
         };
         for number in 0..count {
@@ -75,7 +72,6 @@
     fn send(&mut self, from: usize, actions: Vec<Action>) {
         for action in actions {
             let Action::Send { to, message } = action else { continue };
-            self.datagrams += 1;
             self.bytes += (codec::encode(&*message).map_or(0, |b| b.len()) + codec::UDP_HEAD_BYTES) as u64;
             let target = number_of(to);
             if self.side[from] == self.side[target] && self.rng.random::<f64>() >= self.loss {
--- a/standins/tests/mesh.rs
+++ b/crates/pointvane-mesh/tests/membership.rs
@@ -1,9 +1,11 @@
 //! Membership among many machines with time given: failures, freezes, cuts, loss, and what it costs.
 
+mod many;
+
 use {
     googletest::prelude::*,
+    many::{MeshRun, TICK_US},
     pointvane_core::VmState,
-    pointvane_standins::mesh_run::{MeshRun, TICK_US},
 };
 
 const TICKS_PER_S: usize = (1_000_000 / TICK_US) as usize;
--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -6,7 +6,7 @@
     eyre::Result,
     pointvane_standins::{
         deployment::{Deployment, FleetPlan, Plan, Program, ServicePlan},
-        load::{self, CallKind, LoadPlan, LoadReport, Rate, Target},
+        load::{self, CallKind, LoadPlan, LoadReport, Rate},
         table::Table,
         upstream::Behaviour,
     },
@@ -77,7 +77,7 @@
 
 fn load_plan(deployment: &Deployment, service: &str, rates: &[(CallKind, f64)]) -> LoadPlan {
     LoadPlan {
-        target: Target::Locate(deployment.locates()),
+        locates: deployment.locates(),
         service: service.into(),
         rates: rates.iter().cloned().map(|(kind, per_s)| Rate { kind, per_s }).collect(),
         time: TIME,
--- a/standins/src/bin/measure/hop.rs
+++ b/standins/src/bin/measure.rs
@@ -1,10 +1,13 @@
-//! Time added by the data path: echo calls through one entry VM beside direct ones, in the same run.
+//! Time added by the data path of an entry VM: echo calls through it beside direct ones, in the same run.
+//!
+//! Runs real processes on loopback; docs/MEASUREMENTS.md tells how to read the table.
+#![forbid(unsafe_code)]
 
 use {
-    crate::usage::{median, spread, usage},
+    clap::Parser,
     eyre::Result,
     pointvane_standins::{
-        deployment::{Deployment, FleetPlan, Plan, Program, ServicePlan},
+        deployment::{Deployment, FleetPlan, Plan, ServicePlan},
         load::histogram,
         table::Table,
     },
@@ -17,8 +20,8 @@
 };
 
 /// Time added by the data path.
-#[derive(clap::Args)]
-pub struct Args {
+#[derive(Parser)]
+struct Args {
     /// Kept connections.
     #[arg(long, value_delimiter = ',', default_value = "16,64,260")]
     connections: Vec<usize>,
@@ -33,11 +36,8 @@
     runs: usize,
 }
 
-/// Measures and prints a table.
-///
-/// # Errors
-/// When the deployment does not come up or a call fails.
-pub fn measure(args: &Args) -> Result<()> {
+fn main() -> Result<()> {
+    let args = &Args::parse();
     let service = ServicePlan { instances: 8, connect_ms: 0.0, ..ServicePlan::default() };
     let deployment = Deployment::start(Plan {
         data_centres: 1,
@@ -46,14 +46,8 @@
         fleet: FleetPlan::default(),
         settings: String::new(),
     })?;
-    let mut table = Table::new(&[
-        "connections",
-        "added p50 ms",
-        "added p99 ms",
-        "p99 ratio",
-        "direct p99 ms",
-        "entry MB",
-    ]);
+    let mut table =
+        Table::new(&["connections", "added p50 ms", "added p99 ms", "p99 ratio", "direct p99 ms"]);
     for &connections in &args.connections {
         let mut added = [Vec::new(), Vec::new(), Vec::new(), Vec::new()];
         for _ in 0..args.runs {
@@ -64,17 +58,28 @@
             added[2].push(through.1 / direct.1);
             added[3].push(direct.1);
         }
-        let process = deployment.vms[0].process(Program::Entry).unwrap_or_default();
         let [p50, p99, ratio, direct] = added;
-        eprintln!("{connections} connections: {:.3} ms added at p99 (median)", median(p99.clone()));
-        let memory = format!("{:.0}", usage(process).memory_mb);
         let spreads = [spread(p50, 3), spread(p99, 3), spread(ratio, 2), spread(direct, 3)];
-        table.row([connections.to_string()].into_iter().chain(spreads).chain([memory]).collect());
+        table.row([connections.to_string()].into_iter().chain(spreads).collect());
     }
     print!("{}", table.markdown());
     Ok(())
 }
 
+/// Minimum, median and maximum, as `min/median/max`.
+fn spread(mut values: Vec<f64>, digits: usize) -> String {
+    values.sort_by(f64::total_cmp);
+    let (Some(min), Some(max)) = (values.first(), values.last()) else {
+        return "-".into();
+    };
+    format!("{min:.digits$}/{:.digits$}/{max:.digits$}", median(&values))
+}
+
+/// The median of sorted values.
+fn median(values: &[f64]) -> f64 {
+    values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
+}
+
 /// Median and 99th percentile of the calls of all connections, in milliseconds.
 fn call_all(args: &Args, connections: usize, targets: &[SocketAddr]) -> Result<(f64, f64)> {
     let callers = (0..connections).map(|number| {
--- a/standins/src/deployment/files.rs
+++ b/standins/src/deployment/files.rs
@@ -19,13 +19,11 @@
     pub locate_keep_ms: u64,
     /// `key_life_ms`.
     pub key_life_ms: u64,
-    /// `control_bytes_per_s`.
-    pub control_bytes_per_s: u32,
 }
 
 impl Default for FleetPlan {
     fn default() -> Self {
-        Self { locate_keep_ms: 1_000, key_life_ms: 60_000, control_bytes_per_s: 18_000 }
+        Self { locate_keep_ms: 1_000, key_life_ms: 60_000 }
     }
 }
 
@@ -109,9 +107,9 @@
     // A service that left the plan must not stay in the file set.
     let _ = fs::remove_dir_all(&services);
     fs::create_dir_all(&services)?;
-    let FleetPlan { locate_keep_ms, key_life_ms, control_bytes_per_s } = plan.fleet;
+    let FleetPlan { locate_keep_ms, key_life_ms } = plan.fleet;
     let fleet = format!(
-        "revision = {revision}\nentry_vms_max = {}\nlocate_keep_ms = {locate_keep_ms}\nkey_life_ms = {key_life_ms}\ncontrol_bytes_per_s = {control_bytes_per_s}\n",
+        "revision = {revision}\nentry_vms_max = {}\nlocate_keep_ms = {locate_keep_ms}\nkey_life_ms = {key_life_ms}\n",
         plan.entries + 1
     );
     fs::write(directory.join("fleet.toml"), fleet)?;
--- a/standins/src/deployment/net.rs
+++ b/standins/src/deployment/net.rs
@@ -59,9 +59,4 @@
     pub fn steering(&self) -> SocketAddr {
         (loopback(self.number, STAND_INS, 2), STEERING_PORT).into()
     }
-
-    /// An address for a test's own use.
-    pub fn spare(&self, number: u8) -> IpAddr {
-        loopback(self.number, STAND_INS, 100 + number)
-    }
 }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -7,7 +7,6 @@
 pub mod admin;
 pub mod deployment;
 pub mod load;
-pub mod mesh_run;
 pub mod platform;
 pub mod serve;
 pub mod table;
--- a/standins/src/load.rs
+++ b/standins/src/load.rs
@@ -3,9 +3,10 @@
 use {
     hdrhistogram::Histogram,
     pointvane_core::Class,
-    rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom},
+    rand::{Rng, SeedableRng, rngs::StdRng},
     rand_distr::{Distribution, Exp},
     std::{
+        net::SocketAddr,
         sync::{Arc, Mutex, PoisonError},
         time::{Duration, Instant},
     },
@@ -22,14 +23,14 @@
 pub use {
     call::{Call, CallKind, Ending},
     report::{KindReport, LoadReport},
-    route::{Callers, Target},
+    route::Callers,
 };
 
 /// A load to put on.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// How callers find entry VMs.
-    pub target: Target,
+    /// Where callers ask for entry VMs.
+    pub locates: Vec<SocketAddr>,
     /// The service's name and the prefix of its paths.
     pub service: String,
     /// Kinds of calls, each with its rate per second.
@@ -58,7 +59,7 @@
 
 /// Puts the load on and reports.
 pub async fn run(plan: &LoadPlan) -> LoadReport {
-    let callers = Arc::new(Callers::new(plan.target.clone(), plan.service.clone(), plan.seed));
+    let callers = Arc::new(Callers::new(plan.locates.clone(), plan.service.clone()));
     let report = Arc::new(Mutex::new(LoadReport::default()));
     let mut streams = JoinSet::new();
     for (number, rate) in plan.rates.iter().enumerate() {
@@ -137,8 +138,3 @@
         _ => Class::Routine,
     }
 }
-
-/// One of several, at random.
-fn any<'a, T>(items: &'a [T], rng: &mut impl Rng) -> Option<&'a T> {
-    items.choose(rng)
-}
--- a/standins/src/load/route.rs
+++ b/standins/src/load/route.rs
@@ -1,7 +1,6 @@
-//! How callers find an entry VM: by locate's answer, kept for its time, or by a fixed list.
+//! How callers find an entry VM: by locate's answer, kept for its time.
 
 use {
-    super::any,
     bytes::Bytes,
     http_body_util::{BodyExt, Full},
     hyper::{
@@ -10,7 +9,6 @@
         client::conn::http1::{self, SendRequest},
     },
     hyper_util::rt::TokioIo,
-    rand::{SeedableRng, rngs::StdRng},
     serde::Deserialize,
     std::{
         collections::HashMap,
@@ -21,27 +19,17 @@
     tokio::net::TcpStream,
 };
 
-/// How callers find entry VMs.
-#[derive(Clone, Debug)]
-pub enum Target {
-    /// They ask one of these.
-    Locate(Vec<SocketAddr>),
-    /// They use these, the earlier ones more: entry `i` of `n` gets a share that falls from 2 to 0.
-    Uneven(Vec<SocketAddr>),
-}
-
 /// Callers that each keep locate's answer for its time.
 const CALLERS: usize = 200;
 
 /// The callers with their kept answers and connections.
 #[derive(Debug)]
 pub struct Callers {
-    target: Target,
+    locates: Vec<SocketAddr>,
     /// The service's name.
     pub service: String,
     kept: Vec<Mutex<Option<Kept>>>,
     idle: Mutex<HashMap<SocketAddr, Vec<SendRequest<Full<Bytes>>>>>,
-    rng: Mutex<StdRng>,
 }
 
 #[derive(Clone, Debug)]
@@ -77,10 +65,9 @@
 
 impl Callers {
     /// Callers that know nothing yet.
-    pub fn new(target: Target, service: String, seed: u64) -> Self {
+    pub fn new(locates: Vec<SocketAddr>, service: String) -> Self {
         let kept = (0..CALLERS).map(|_| Mutex::new(None)).collect();
-        let rng = Mutex::new(StdRng::seed_from_u64(seed));
-        Self { target, service, kept, idle: Mutex::default(), rng }
+        Self { locates, service, kept, idle: Mutex::default() }
     }
 
     /// How many they are.
@@ -95,16 +82,12 @@
 
     /// The entry VMs that a caller may use now, the best first.
     pub async fn entries(&self, caller: usize) -> Vec<EntryAddress> {
-        let locates = match &self.target {
-            Target::Locate(locates) => locates,
-            Target::Uneven(entries) => return vec![self.uneven(entries)],
-        };
         let kept = self.kept[caller].lock().unwrap_or_else(PoisonError::into_inner).clone();
         if let Some(kept) = kept.filter(|kept| kept.until > Instant::now()) {
             return kept.answer.entries;
         }
-        for attempt in 0..locates.len() {
-            let locate = locates[(caller + attempt) % locates.len()];
+        for attempt in 0..self.locates.len() {
+            let locate = self.locates[(caller + attempt) % self.locates.len()];
             if let Some(answer) = self.ask(locate).await {
                 let until = Instant::now() + Duration::from_millis(answer.keep_ms);
                 let entries = answer.entries.clone();
@@ -121,15 +104,6 @@
         *self.kept[caller].lock().unwrap_or_else(PoisonError::into_inner) = None;
     }
 
-    fn uneven(&self, entries: &[SocketAddr]) -> EntryAddress {
-        let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
-        // The lesser of two even draws falls off in a straight line.
-        let numbers: Vec<usize> = (0..entries.len()).collect();
-        let draw = |rng: &mut StdRng| any(&numbers, rng).copied().unwrap_or(0);
-        let number = draw(&mut rng).min(draw(&mut rng));
-        EntryAddress { address: entries[number], key_prefix: String::new() }
-    }
-
     async fn ask(&self, locate: SocketAddr) -> Option<Located> {
         let uri = format!("/v1/locate?service={}", self.service);
         let request = Request::get(uri).header("host", locate.to_string()).header("connection", "close");
--- a/standins/src/upstream.rs
+++ b/standins/src/upstream.rs
@@ -1,23 +1,23 @@
-//! Upstreams: slots, a queue, times of service, a load report; draining, cold, shedding, slow, noisy or
-//! failing fast on demand. Each writes down what it ran.
+//! Upstreams: slots, a queue, times of service, a load report; draining, cutting answers off or breaking connections
+//! on demand. Each writes down what it ran.
 
 use {
     crate::serve::{Answer, Handler, answer, parameter, serve},
     http_body_util::BodyExt,
     hyper::{Method, Request, body::Incoming},
     pointvane_core::{LoadReport, header},
-    rand::{Rng, SeedableRng, rngs::StdRng},
+    rand::{SeedableRng, rngs::StdRng},
     rand_distr::{Distribution, LogNormal},
     serde::{Deserialize, Serialize},
     std::{
-        collections::{HashMap, VecDeque},
+        collections::HashMap,
         io,
         net::SocketAddr,
         sync::{
             Arc, Mutex, MutexGuard, PoisonError,
             atomic::{AtomicU32, AtomicU64, Ordering},
         },
-        time::{Duration, Instant},
+        time::Duration,
     },
     tokio::{
         sync::Semaphore,
@@ -50,18 +50,6 @@
 pub struct Behaviour {
     /// Says that it drains, and refuses nothing.
     pub draining: bool,
-    /// Factor on the time of service; 0 counts as 1.
-    pub slow: f64,
-    /// Answers 500 at once.
-    pub failing: bool,
-    /// Queue length beyond which it answers 503; 0 for none.
-    pub shed_beyond: u32,
-    /// Age of its load reports, in milliseconds.
-    pub report_lag_ms: u64,
-    /// Its load reports always say 0.
-    pub report_lies: bool,
-    /// Four times slower for 200 ms every 2 to 6 s.
-    pub noisy: bool,
     /// Cuts off answers in the middle.
     pub cutting: bool,
     /// Runs the work and then breaks the connection off without an answer.
@@ -75,12 +63,6 @@
     pub ran: u64,
     /// Requests that ended because their caller went away.
     pub cancelled: u64,
-    /// Requests whose deadline passed in the queue.
-    pub expired: u64,
-    /// Probes answered.
-    pub probes: u64,
-    /// Microseconds of slots spent on probes.
-    pub probe_slot_us: u64,
     /// Requests begun since it said that it drains.
     pub begun_draining: u64,
     /// Times that each idempotency key was begun.
@@ -96,25 +78,18 @@
     cancelled: AtomicU64,
     behaviour: Mutex<Behaviour>,
     done: Mutex<Done>,
-    history: Mutex<VecDeque<(Instant, u16)>>,
     draws: Mutex<Draws>,
 }
 
-/// Time between two notes of the history from which late reports are made.
-const HISTORY_STEP: Duration = Duration::from_millis(2);
 /// What a sleep takes longer than asked, on average, in milliseconds.
 const SLEEP_LATE_MS: f64 = 0.6;
 /// What a cut answer promises and does not give.
 const CUT_BYTES: u64 = 10_000;
-const HISTORY_MAX: usize = 1_024;
-const NOISE: Duration = Duration::from_millis(200);
-const NOISE_FACTOR: f64 = 4.0;
 
 #[derive(Debug)]
 struct Draws {
     rng: StdRng,
     time: LogNormal<f64>,
-    noise_from: Instant,
 }
 
 impl Upstream {
@@ -122,7 +97,7 @@
         // A log-normal's mean is exp(mu + sigma^2 / 2).
         let mu = spec.service_ms.ln() - spec.sigma * spec.sigma / 2.0;
         let time = LogNormal::new(mu, spec.sigma).unwrap_or_else(|_| panic!("sigma {}", spec.sigma));
-        let draws = Draws { rng: StdRng::seed_from_u64(seed), time, noise_from: Instant::now() };
+        let draws = Draws { rng: StdRng::seed_from_u64(seed), time };
         Self {
             slots: Semaphore::new(usize::from(spec.slots)),
             spec,
@@ -130,7 +105,6 @@
             cancelled: AtomicU64::new(0),
             behaviour: Mutex::default(),
             done: Mutex::default(),
-            history: Mutex::default(),
             draws: Mutex::new(draws),
         }
     }
@@ -140,50 +114,15 @@
     }
 
     fn report(&self, behaviour: &Behaviour, leaving_now: u32) -> LoadReport {
-        let now = self.in_flight.load(Ordering::Relaxed).saturating_sub(leaving_now) as u16;
-        let in_flight = match behaviour.report_lag_ms {
-            _ if behaviour.report_lies => 0,
-            0 => now,
-            lag_ms => self.past(Duration::from_millis(lag_ms)).unwrap_or(now),
-        };
+        let in_flight = self.in_flight.load(Ordering::Relaxed).saturating_sub(leaving_now) as u16;
         LoadReport { in_flight, draining: behaviour.draining }
     }
 
-    /// Requests held some time ago.
-    fn past(&self, age: Duration) -> Option<u16> {
-        let at = Instant::now().checked_sub(age)?;
-        let history = lock(&self.history);
-        history.iter().rev().find(|(noted, _)| *noted <= at).map(|(_, count)| *count)
-    }
-
-    async fn note_history(self: Arc<Self>) {
-        loop {
-            self.note();
-            sleep(HISTORY_STEP).await;
-        }
-    }
-
-    fn note(&self) {
-        let count = self.in_flight.load(Ordering::Relaxed) as u16;
-        let mut history = lock(&self.history);
-        if history.len() == HISTORY_MAX {
-            history.pop_front();
-        }
-        history.push_back((Instant::now(), count));
-    }
-
     /// Time of service of one request; `asked_ms` overrides the distribution.
-    fn draw(&self, behaviour: &Behaviour, asked_ms: Option<f64>) -> Duration {
+    fn draw(&self, asked_ms: Option<f64>) -> Duration {
         let mut draws = lock(&self.draws);
-        let Draws { rng, time, noise_from } = &mut *draws;
-        let base_ms = asked_ms.unwrap_or_else(|| time.sample(rng));
-        let now = Instant::now();
-        if now >= *noise_from + NOISE {
-            *noise_from = now + Duration::from_millis(rng.random_range(2_000..6_000));
-        }
-        let noise = if behaviour.noisy && now >= *noise_from { NOISE_FACTOR } else { 1.0 };
-        let slow = if behaviour.slow > 0.0 { behaviour.slow } else { 1.0 };
-        let time_ms = base_ms * noise * slow;
+        let Draws { rng, time } = &mut *draws;
+        let time_ms = asked_ms.unwrap_or_else(|| time.sample(rng));
         // A sleep ends at the next whole millisecond, and a little later: half of one too late on average.
         Duration::from_secs_f64((time_ms - SLEEP_LATE_MS).max(0.0) / 1_000.0)
     }
@@ -193,10 +132,6 @@
         if let Ok(_slot) = self.slots.acquire().await {
             sleep(time).await;
         }
-        let mut done = lock(&self.done);
-        done.probes += 1;
-        done.probe_slot_us += time.as_micros() as u64;
-        drop(done);
         self.reported(answer(200, "ok\n"), behaviour, 0)
     }
 
@@ -208,13 +143,6 @@
     }
 
     async fn work(&self, request: Request<Incoming>, behaviour: Behaviour) -> Answer {
-        if behaviour.failing {
-            return self.reported(answer(500, "failing\n"), &behaviour, 0);
-        }
-        let waiting = self.in_flight.load(Ordering::Relaxed).saturating_sub(u32::from(self.spec.slots));
-        if behaviour.shed_beyond > 0 && waiting >= behaviour.shed_beyond {
-            return self.reported(answer(503, "shed\n"), &behaviour, 0);
-        }
         let held = Held::new(self);
         let job = Job::of(&request);
         let body = request.into_body().collect().await;
@@ -226,11 +154,10 @@
             return self.finish(held, &job, length);
         }
         let Ok(Ok(_slot)) = timeout(job.deadline, self.slots.acquire()).await else {
-            lock(&self.done).expired += 1;
             return self.reported(answer(504, "expired\n"), &behaviour, 1);
         };
         self.begin(&job, &behaviour);
-        sleep(self.draw(&behaviour, job.asked_ms)).await;
+        sleep(self.draw(job.asked_ms)).await;
         self.finish(held, &job, length)
     }
 
@@ -333,7 +260,6 @@
         for (number, spec) in specs.into_iter().enumerate() {
             let (address, cost) = (spec.address, Duration::from_secs_f64(spec.connect_ms / 1_000.0));
             let upstream = Arc::new(Upstream::new(spec, seed + number as u64));
-            tokio::spawn(Arc::clone(&upstream).note_history());
             serve(address, Arc::clone(&upstream), cost).await?;
             upstreams.push(upstream);
         }
--- a/standins/tests/promises.rs
+++ b/standins/tests/promises.rs
@@ -5,7 +5,7 @@
     googletest::prelude::*,
     pointvane_standins::{
         deployment::{Deployment, Program, wait},
-        load::{self, CallKind, LoadPlan, LoadReport, Rate, Target},
+        load::{self, CallKind, LoadPlan, LoadReport, Rate},
         upstream::Behaviour,
     },
     pointvane_telemetry::{EventKind, EventPage},
@@ -23,7 +23,7 @@
 /// Calls in a thread of their own: reads, bookings and uploads.
 fn start_calls(deployment: &Deployment, seconds: u64) -> JoinHandle<LoadReport> {
     let plan = LoadPlan {
-        target: Target::Locate(deployment.locates()),
+        locates: deployment.locates(),
         service: "dispatch".into(),
         rates: vec![
             Rate { kind: CallKind::Lookup, per_s: 60.0 },
