--- a/crates/pointvane-dispatch/src/admission.rs
+++ b/crates/pointvane-dispatch/src/admission.rs
@@ -9,8 +9,6 @@
     pub target_share: f64,
     /// What each rank takes off that part, so that less urgent work gives way first.
     pub rank_step: f64,
-    /// Part of a caller's whole time that must be left for it to be told to come back.
-    pub time_left_share: f64,
     /// Least and most part of the target time after which it is told to come back.
     pub come_back_share: (f64, f64),
     /// Time between caller and node and back, in milliseconds.
@@ -26,7 +24,6 @@
         Self {
             target_share: 3.0,
             rank_step: 1.0,
-            time_left_share: 0.0,
             come_back_share: (0.5, 1.3),
             caller_way_ms: 16.0,
             look_share: 0.1,
@@ -42,10 +39,6 @@
     pub spent_ms: f64,
     /// Time that its upstream is expected to take, in milliseconds.
     pub expected_ms: f64,
-    /// Time that its caller will still wait, in milliseconds.
-    pub left_ms: f64,
-    /// The most time that callers of its route give at first, in milliseconds.
-    pub whole_ms: f64,
 }
 
 /// Time that a refusal takes within this node, in milliseconds.
@@ -72,8 +65,7 @@
         let target_ms = route.target_latency_ms as f64;
         let share = self.target_share - self.rank_step * f64::from(route.priority);
         let finish_ms = outlook.spent_ms + outlook.expected_ms + self.caller_way_ms;
-        let may_come_back = outlook.left_ms >= outlook.whole_ms * self.time_left_share;
-        may_come_back && finish_ms > target_ms * share
+        finish_ms > target_ms * share
     }
 
     /// When a refused caller is to come back, in milliseconds; `draw` lies between 0 and 1.
@@ -82,24 +74,3 @@
         route.target_latency_ms as f64 * (least + (most - least) * draw)
     }
 }
-
-/// The most time that callers of a route give at first.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct WholeTime {
-    most_ms: f64,
-}
-
-/// Part that remains of the most at each request, so that it follows a change.
-const DECAY: f64 = 0.9995;
-
-impl WholeTime {
-    /// Takes the time that one caller gives.
-    pub fn note(&mut self, given_ms: f64) {
-        self.most_ms = (self.most_ms * DECAY).max(given_ms);
-    }
-
-    /// The most, in milliseconds.
-    pub fn get_ms(&self) -> f64 {
-        self.most_ms
-    }
-}
--- a/crates/pointvane-dispatch/src/lib.rs
+++ b/crates/pointvane-dispatch/src/lib.rs
@@ -19,7 +19,7 @@
 mod upstream;
 
 pub use {
-    admission::{AdmissionOptions, Outlook, WholeTime},
+    admission::{AdmissionOptions, Outlook},
     budget::{PROBE_WINDOW_S, ProbeBudget, RetryBudget, RetryBudgetOptions},
     directory::{DirectoryMember, directory_addresses},
     fan_out::{
--- a/crates/pointvane-dispatch/tests/attempts.rs
+++ b/crates/pointvane-dispatch/tests/attempts.rs
@@ -130,7 +130,7 @@
 fn the_least_urgent_work_is_told_to_come_back_first() {
     let options = AdmissionOptions::default();
     let refused = |priority: u32, expected_ms: f64| {
-        let outlook = Outlook { spent_ms: 10.0, expected_ms, left_ms: 1_000.0, whole_ms: 1_200.0 };
+        let outlook = Outlook { spent_ms: 10.0, expected_ms };
         options.refuses(&route(priority), &outlook)
     };
     expect_that!(refused(2, 100.0), eq(false), "in time");
--- a/crates/pointvane-node/src/attempt.rs
+++ b/crates/pointvane-node/src/attempt.rs
@@ -148,8 +148,6 @@
     let outlook = node.route_times(route, |times| Outlook {
         spent_ms: ms(belief.at_us.saturating_sub(request.times.arrived_at_us)),
         expected_ms: f64::from(belief.cost) * times.usual.get_ms(),
-        left_ms: ms(request.times.deadline_at_us.saturating_sub(belief.at_us)),
-        whole_ms: times.whole.get_ms(),
     });
     let late = node.admission().refuses(route, &outlook);
     if late {
--- a/crates/pointvane-node/src/request.rs
+++ b/crates/pointvane-node/src/request.rs
@@ -27,8 +27,6 @@
 pub struct CallerTimes {
     /// When it came.
     pub arrived_at_us: u64,
-    /// When its caller stops waiting.
-    pub deadline_at_us: u64,
     /// When it must be answered.
     pub give_up_at_us: u64,
 }
--- a/crates/pointvane-node/src/times.rs
+++ b/crates/pointvane-node/src/times.rs
@@ -1,9 +1,6 @@
 //! What is known of the times of a route's requests.
 
-use {
-    pointvane_core::RouteRule,
-    pointvane_dispatch::{LatencyQuantile, WholeTime},
-};
+use {pointvane_core::RouteRule, pointvane_dispatch::LatencyQuantile};
 
 /// The quantile of answer times after which a second attempt is considered.
 const HEDGE_QUANTILE: f64 = 0.9;
@@ -16,8 +13,6 @@
     pub answer: LatencyQuantile,
     /// Median time of an upstream that works at once and at the usual pace.
     pub usual: LatencyQuantile,
-    /// The most time that callers give.
-    pub whole: WholeTime,
 }
 
 impl RouteTimes {
@@ -27,7 +22,6 @@
         Self {
             answer: LatencyQuantile::new(HEDGE_QUANTILE, target_ms / 2.0),
             usual: LatencyQuantile::new(MEDIAN, target_ms / 4.0),
-            whole: WholeTime::default(),
         }
     }
 }
--- a/crates/pointvane-node/src/traffic.rs
+++ b/crates/pointvane-node/src/traffic.rs
@@ -66,10 +66,8 @@
     arrived_at_us: u64,
 ) -> Result<CallerRequest, Refused> {
     let routed = routed(node, &head)?;
-    let deadline_ms = deadline_ms(node, &head);
-    let deadline_at_us = arrived_at_us + deadline_ms * US_PER_MS;
-    let give_up_at_us = deadline_at_us.min(arrived_at_us + routed.route.timeout_ms * US_PER_MS);
-    node.route_times(&routed.route, |times| times.whole.note(deadline_ms as f64));
+    let time_ms = deadline_ms(node, &head).min(routed.route.timeout_ms);
+    let give_up_at_us = arrived_at_us + time_ms * US_PER_MS;
     let body_max = node.route_table().limits().body_bytes_max;
     if body.size_hint().exact().is_some_and(|length| length > body_max) {
         return Err(Refused { status: Some(StatusCode::PAYLOAD_TOO_LARGE), ..ErrorKind::BadRequest.into() });
@@ -78,7 +76,7 @@
     if node.now_us() >= give_up_at_us {
         return Err(ErrorKind::DeadlinePassed.into());
     }
-    let times = CallerTimes { arrived_at_us, deadline_at_us, give_up_at_us };
+    let times = CallerTimes { arrived_at_us, give_up_at_us };
     Ok(caller_request(head, gathered, routed, times))
 }
 
