--- a/crates/pointvane-dispatch/src/lib.rs
+++ b/crates/pointvane-dispatch/src/lib.rs
@@ -14,8 +14,8 @@
 //! | when a second attempt runs beside the first | `hedge.rs` |
 //! | when an upstream gets no new work | `ejection.rs` |
 //! | how many retries and probes a node may spend | `budget.rs` |
-//! | when the platform or another node is asked for changes | `feed.rs` and its modules |
-//! | how changes reach all nodes | `relay.rs`, `fan_out.rs`, `state.rs`, `spread.rs` |
+//! | when the platform or another node is asked for changes | `reader.rs` and its modules |
+//! | how changes reach all nodes | `relay.rs`, `fan_out.rs`, `state_query.rs`, `query_order.rs` |
 //! | which nodes a caller is sent to | `directory.rs` |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -27,18 +27,18 @@
 mod directory;
 mod ejection;
 mod fan_out;
-mod feed;
 mod hedge;
 mod latency;
 mod pool;
+mod query_order;
 mod ranking;
+mod reader;
 mod relay;
 mod retry;
 mod route_times;
 mod routes;
 mod search;
-mod spread;
-mod state;
+mod state_query;
 mod subset;
 mod upstream;
 
@@ -52,12 +52,14 @@
     directory::{DirectoryMember, directory_addresses},
     ejection::{ProbeOutcome, unresponsive_after_ms},
     fan_out::{
-        DIRECT_MAX, Delegate, FAN_OUT, HeardRounds, LineNode, Segment, delegates, fan_out, line_place,
+        DIRECT_MAX, FAN_OUT, Forwarder, OrderedNode, ReceivedRounds, Segment, broadcast_position, fan_out,
+        forwarders,
     },
-    feed::{CallFailure, Feed, FeedCall, FeedOptions, ReaderRole, Whom},
     latency::LatencyQuantile,
     pool::{Pool, UpstreamKey},
+    query_order::{QueryCandidate, earlier_peer, query_position},
     ranking::{Ranking, RankingOptions, Wanted},
+    reader::{CallFailure, PlatformReader, QueryTarget, ReaderCall, ReaderOptions, ReaderRole},
     relay::{Relay, RelayDatagram, RelayLog, WireRelay},
     retry::{AttemptOutcome, Refusal, Verdict, judge, may_pass_on},
     route_times::RouteTimes,
@@ -65,7 +67,6 @@
     search::{
         Found, PROBE_TIMEOUT_US, Search, SearchGoal, SearchOptions, SearchRequest, SearchStep, search_time_ms,
     },
-    spread::{SpreadPeer, earlier_peer, spread_order},
-    state::{HeldState, ReadMark, StateReply, StateRequest},
+    state_query::{KnownState, ReadMark, StateReply, StateRequest},
     upstream::{LoadSample, UpstreamState},
 };
--- /dev/null
+++ b/crates/pointvane-dispatch/src/reader.rs
@@ -0,0 +1,239 @@
+//! Reading of the platform: when it is called, when another node is queried instead, and what becomes of the answers.
+//!
+//! A few nodes read for all. Watchers hold a watch open and relay each answer to all nodes. A relay is also a lease: as long
+//! as the platform's answer behind it is young, a node need not read for itself. Without a watcher standbys read, and
+//! without these each node does. What a relay has no room for, such as a configuration, nodes query from each
+//! other in an order that spreads the load (`query_order.rs`), and from the platform if that fails. Everything is
+//! read anew when the platform no longer holds the changes that are missing, or an answer cannot be trusted.
+//!
+//! The state machine takes the time and the answers and returns the next call; `pointvane-node` carries it out. Inputs that
+//! are old: a relay older than the lease is ignored; an outage of the platform longer than `outage_ms` opens a grace
+//! period for entries that may only have expired. Tests: `tests/reader.rs`, `tests/relays.rs`, `tests/states.rs`,
+//! `tests/lapses.rs`.
+
+mod answers;
+mod call;
+mod freshness;
+mod nodes;
+mod options;
+mod snapshot;
+
+pub use {
+    call::{CallFailure, QueryTarget, ReaderCall, ReaderRole},
+    options::ReaderOptions,
+};
+
+use {
+    crate::{
+        relay::{Relay, RelayLog},
+        state_query::{ReadMark, StateRequest},
+    },
+    freshness::Freshness,
+    pointvane_core::US_PER_MS,
+    rand::{Rng, SeedableRng, rngs::SmallRng},
+    snapshot::SnapshotRead,
+};
+
+/// Wait of a watch that only fetches what is there already, in milliseconds.
+const POLL_WAIT_MS: u64 = 1;
+/// Time between a watcher's answer and the end of the leases before it, in milliseconds. Not measured: room for a relay
+/// that is lost.
+const LEASE_MARGIN_MS: u64 = 200;
+/// Shortest wait of a watcher's watch, in milliseconds. Not measured: it bounds the calls to the platform.
+const WAIT_MIN_MS: u64 = 200;
+
+/// The platform is known to hold more than this node: what is missing, and how it is fetched.
+#[derive(Clone, Copy, Debug)]
+struct CatchUp {
+    wanted: ReadMark,
+    query_at_us: u64,
+    peer_queries: u32,
+}
+
+/// The state of a node's reading.
+#[derive(Debug)]
+pub struct PlatformReader {
+    options: ReaderOptions,
+    role: ReaderRole,
+    mark: ReadMark,
+    /// A read of everything that is under way or due.
+    snapshot: Option<SnapshotRead>,
+    start_queries: u32,
+    catch_up: Option<CatchUp>,
+    pause_until_us: u64,
+    failures: u32,
+    freshness: Freshness,
+    /// How long this node waits for a standby's relay after its lease.
+    follower_wait_us: u64,
+    behind_since_us: Option<u64>,
+    /// Whether a watch that waits for changes is under way.
+    watching: bool,
+    /// Revision that the last watch was made after.
+    watched_after: u64,
+    /// Whether the call under way is made because no other reader was heard.
+    no_reader_heard: bool,
+    log: RelayLog,
+    rng: SmallRng,
+}
+
+impl PlatformReader {
+    /// A node that has read nothing.
+    pub fn new(options: ReaderOptions, seed: u64) -> Self {
+        let mut reader = Self {
+            options,
+            role: ReaderRole::Watcher,
+            mark: ReadMark::default(),
+            snapshot: Some(SnapshotRead::default()),
+            start_queries: options.start_queries,
+            catch_up: None,
+            pause_until_us: 0,
+            failures: 0,
+            freshness: Freshness::default(),
+            follower_wait_us: 0,
+            behind_since_us: None,
+            watching: false,
+            watched_after: 0,
+            no_reader_heard: false,
+            log: RelayLog::default(),
+            rng: SmallRng::seed_from_u64(seed),
+        };
+        reader.draw_follower_wait();
+        reader
+    }
+
+    /// How far the platform is read; zeros before the first read.
+    pub fn mark(&self) -> ReadMark {
+        self.mark
+    }
+
+    /// End of the grace period within which an upstream whose entry is gone may come back; past if there is none.
+    pub fn grace_until_us(&self) -> u64 {
+        self.freshness.grace_until_us()
+    }
+
+    /// Whether the last calls to the platform failed.
+    pub fn is_unreachable(&self) -> bool {
+        self.failures > 0
+    }
+
+    /// Age of the platform's last answer, in milliseconds; none before the first.
+    pub fn age_ms(&self, now_us: u64) -> Option<u64> {
+        self.freshness.age_ms(now_us)
+    }
+
+    /// What to do now.
+    pub fn next(&mut self, now_us: u64) -> ReaderCall {
+        if let Some(catch_up) = self.catch_up {
+            return self.next_of_catch_up(catch_up, now_us);
+        }
+        if now_us < self.pause_until_us {
+            return ReaderCall::Wait { until_us: self.pause_until_us };
+        }
+        if self.snapshot.is_some() {
+            return self.next_of_snapshot();
+        }
+        if self.role == ReaderRole::Watcher {
+            let wait_ms = self.wait_ms(now_us);
+            self.watching = true;
+            return self.watch(wait_ms);
+        }
+        let poll_at_us = self.poll_at_us();
+        if now_us < poll_at_us {
+            return ReaderCall::Wait { until_us: poll_at_us };
+        }
+        self.no_reader_heard = true;
+        self.watch(POLL_WAIT_MS)
+    }
+
+    /// When a node that does not watch reads for itself, unless a relay renews its lease before.
+    fn poll_at_us(&self) -> u64 {
+        let wait_us = if self.role == ReaderRole::Follower { self.follower_wait_us } else { 0 };
+        self.freshness.lease_until_us(&self.options) + wait_us
+    }
+
+    /// Queries a peer first, after a start; then reads the platform.
+    fn next_of_snapshot(&mut self) -> ReaderCall {
+        let unbegun = self.snapshot.as_ref().is_some_and(SnapshotRead::is_unbegun);
+        if self.start_queries > 0 && unbegun {
+            self.start_queries -= 1;
+            return self.query_peer(QueryTarget::Any);
+        }
+        let next_page = self.snapshot.as_ref().and_then(SnapshotRead::next_page);
+        ReaderCall::Snapshot { next_page, timeout_ms: self.options.timeout_ms }
+    }
+
+    /// Queries peers for what is missing, the broadcaster last; then the platform.
+    fn next_of_catch_up(&mut self, catch_up: CatchUp, now_us: u64) -> ReaderCall {
+        if now_us < catch_up.query_at_us {
+            return ReaderCall::Wait { until_us: catch_up.query_at_us };
+        }
+        if catch_up.peer_queries > 0 {
+            self.catch_up = Some(CatchUp { peer_queries: catch_up.peer_queries - 1, ..catch_up });
+            let last = catch_up.peer_queries == 1;
+            return self.query_peer(if last { QueryTarget::Broadcaster } else { QueryTarget::Earlier });
+        }
+        (self.catch_up, self.no_reader_heard) = (None, false);
+        if now_us < self.pause_until_us {
+            return ReaderCall::Wait { until_us: self.pause_until_us };
+        }
+        self.watch(POLL_WAIT_MS)
+    }
+
+    fn query_peer(&self, target: QueryTarget) -> ReaderCall {
+        let request = StateRequest { known: self.mark };
+        let timeout_ms = match target {
+            QueryTarget::Any => self.options.start_timeout_ms,
+            QueryTarget::Earlier | QueryTarget::Broadcaster => self.options.peer_timeout_ms,
+        };
+        ReaderCall::QueryPeer { target, request, timeout_ms }
+    }
+
+    fn watch(&mut self, wait_ms: u64) -> ReaderCall {
+        self.watched_after = self.mark.revision;
+        let timeout_ms = wait_ms + self.options.timeout_ms;
+        ReaderCall::Watch { after: self.mark.revision, wait_ms, timeout_ms }
+    }
+
+    /// How long a watcher waits: its next answer must come before the leases that its last one gave are over.
+    fn wait_ms(&mut self, now_us: u64) -> u64 {
+        // Before the first answer there is no lease to renew.
+        let age_ms = self.freshness.age_ms(now_us).unwrap_or_default();
+        let room_ms = self.options.lease_ms.saturating_sub(age_ms + LEASE_MARGIN_MS);
+        let longest_ms = self.options.wait_ms.min(room_ms.max(WAIT_MIN_MS));
+        // Spread, so that not all watchers renew their watches at once.
+        self.rng.random_range(longest_ms * 3 / 4..=longest_ms)
+    }
+
+    fn draw_follower_wait(&mut self) {
+        let (min_us, max_us) =
+            (self.options.follower_wait_min_ms * US_PER_MS, self.options.follower_wait_max_ms * US_PER_MS);
+        self.follower_wait_us = self.rng.random_range(min_us..=max_us);
+    }
+
+    /// What this node relays to all others now, if the platform's answer behind it is current.
+    pub fn relay(&self, now_us: u64) -> Option<Relay> {
+        let age_ms = self.current_age_ms(now_us)?;
+        Some(self.log.relay(self.mark, age_ms))
+    }
+
+    /// Whether this node relays at regular intervals.
+    pub fn is_watcher(&self) -> bool {
+        self.role == ReaderRole::Watcher
+    }
+
+    /// Whether this node relays right after an answer of the platform: it is a watcher, or no other reader was heard.
+    pub fn broadcasts(&self) -> bool {
+        self.is_watcher() || self.no_reader_heard
+    }
+
+    /// Age of the platform's last answer, if that is current and everything is read.
+    fn current_age_ms(&self, now_us: u64) -> Option<u64> {
+        let age_ms = self.freshness.age_ms(now_us)?;
+        (self.snapshot.is_none() && age_ms < self.options.lease_ms).then_some(age_ms)
+    }
+
+    /// Whether the platform is known to hold more than this node, so that a wait or a hung watch is to end.
+    pub fn is_behind(&self) -> bool {
+        self.catch_up.is_some()
+    }
+}
--- /dev/null
+++ b/crates/pointvane-dispatch/src/reader/answers.rs
@@ -0,0 +1,124 @@
+//! What becomes of the platform's answers and failures.
+
+use {
+    super::{
+        CallFailure, PlatformReader, ReaderOptions, ReaderRole,
+        snapshot::{PageRead, SnapshotRead},
+    },
+    pointvane_core::{Change, ChangePage, Name, US_PER_MS},
+    rand::Rng,
+};
+
+/// Doublings of the pause after a failure that are computed; the longest pause binds long before.
+const RETRY_DOUBLINGS_MAX: u32 = 8;
+
+impl PlatformReader {
+    /// Takes a page of a read of everything; `known` are the upstreams that this node knows. Gives what is to be applied.
+    pub fn page_read<'n>(
+        &mut self,
+        page: ChangePage,
+        known: impl Iterator<Item = &'n Name>,
+        now_us: u64,
+    ) -> Vec<Change> {
+        self.call_succeeded(now_us);
+        // A page that comes though none is due begins a new read.
+        let mut snapshot = self.snapshot.take().unwrap_or_default();
+        let PageRead { changes, complete_at } = snapshot.take(page, known);
+        self.raise_version(&changes);
+        let Some(revision) = complete_at else {
+            self.snapshot = Some(snapshot);
+            return changes;
+        };
+        self.restart_at(revision);
+        self.pause_after_start(now_us);
+        changes
+    }
+
+    /// By the end of this pause a node that has just started has met its peers, and knows whether it is a watcher.
+    pub(super) fn pause_after_start(&mut self, now_us: u64) {
+        self.pause_until_us = now_us + 2 * self.options.settle_ms * US_PER_MS;
+    }
+
+    /// Takes the changes of a watch. Gives what is to be applied.
+    pub fn watch_answered(&mut self, page: ChangePage, now_us: u64) -> Vec<Change> {
+        self.call_succeeded(now_us);
+        if page.revision < self.watched_after {
+            // The platform went back: only a read of everything can be trusted.
+            self.snapshot = Some(SnapshotRead::default());
+            return Vec::new();
+        }
+        if page.revision < self.mark.revision {
+            // A relay has brought more meanwhile.
+            return Vec::new();
+        }
+        self.raise_version(&page.changes);
+        self.advance_to(page.revision, &page.changes);
+        if !page.changes.is_empty() && self.role == ReaderRole::Watcher {
+            self.pause_until_us = now_us + self.options.settle_ms * US_PER_MS;
+        }
+        page.changes
+    }
+
+    fn call_succeeded(&mut self, now_us: u64) {
+        self.watching = false;
+        self.failures = 0;
+        self.pause_until_us = now_us;
+        self.freshness.confirm(now_us, &self.options);
+        self.draw_follower_wait();
+    }
+
+    fn raise_version(&mut self, changes: &[Change]) {
+        let versions = changes.iter().filter_map(|change| match change {
+            Change::Configuration(configuration) => Some(configuration.version),
+            _ => None,
+        });
+        self.mark.version = versions.fold(self.mark.version, u64::max);
+    }
+
+    /// Everything up to a revision is known, by these changes.
+    pub(super) fn advance_to(&mut self, revision: u64, changes: &[Change]) {
+        if revision > self.mark.revision {
+            self.log.add(revision, changes);
+        }
+        self.set_revision(revision.max(self.mark.revision));
+    }
+
+    /// Everything up to a revision is known, but not by which changes.
+    pub(super) fn restart_at(&mut self, revision: u64) {
+        self.log.restart(revision);
+        self.set_revision(revision);
+    }
+
+    fn set_revision(&mut self, revision: u64) {
+        self.mark.revision = revision;
+        self.behind_since_us = None;
+        self.catch_up = self.catch_up.filter(|catch_up| !self.mark.covers(catch_up.wanted));
+    }
+
+    /// Takes the failure of a call to the platform.
+    pub fn call_failed(&mut self, failure: CallFailure, now_us: u64) {
+        self.watching = false;
+        if failure != CallFailure::Unavailable || self.snapshot.is_some() {
+            self.snapshot = Some(SnapshotRead::default());
+        }
+        if failure == CallFailure::HistoryGone {
+            self.pause_until_us = now_us;
+            return;
+        }
+        let longest_ms = self.retry_pause_max_ms();
+        self.failures = self.failures.saturating_add(1);
+        self.pause_until_us = now_us + self.rng.random_range(longest_ms / 2..=longest_ms) * US_PER_MS;
+    }
+
+    /// The first pause is short. After that watchers stay quick, and others don't, since their calls add up.
+    fn retry_pause_max_ms(&self) -> u64 {
+        let ReaderOptions { retry_ms, retry_max_ms, retry_others_max_ms, .. } = self.options;
+        match (self.role, self.failures) {
+            (ReaderRole::Watcher, failures) => {
+                (retry_ms << failures.min(RETRY_DOUBLINGS_MAX)).min(retry_max_ms)
+            }
+            (_, 0) => retry_ms,
+            _ => retry_others_max_ms,
+        }
+    }
+}
--- /dev/null
+++ b/crates/pointvane-dispatch/src/reader/call.rs
@@ -0,0 +1,71 @@
+//! What the reader asks its caller to do, and how that can fail.
+
+use crate::state_query::StateRequest;
+
+/// The next thing to do.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ReaderCall {
+    /// Query another node for what it knows.
+    QueryPeer {
+        /// Which node.
+        target: QueryTarget,
+        /// What is known already.
+        request: StateRequest,
+        /// Time without an answer after which the query has failed, in milliseconds.
+        timeout_ms: u64,
+    },
+    /// Read everything from the platform.
+    Snapshot {
+        /// Where the page begins; none for the first.
+        next_page: Option<String>,
+        /// Time without an answer after which the call has failed, in milliseconds.
+        timeout_ms: u64,
+    },
+    /// Wait for changes at the platform.
+    Watch {
+        /// The revision that is known.
+        after: u64,
+        /// Longest wait for a change, in milliseconds.
+        wait_ms: u64,
+        /// Time without an answer after which the call has failed, in milliseconds.
+        timeout_ms: u64,
+    },
+    /// Do nothing until then.
+    Wait {
+        /// When to ask again what to do, in microseconds of the steady clock.
+        until_us: u64,
+    },
+}
+
+/// Which node is queried.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QueryTarget {
+    /// Any that is known.
+    Any,
+    /// One that queries before this one, see [`crate::earlier_peer`].
+    Earlier,
+    /// The one whose relay was received last.
+    Broadcaster,
+}
+
+/// Why a call to the platform gave nothing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CallFailure {
+    /// No connection, no answer in time, or a refusal.
+    Unavailable,
+    /// The platform no longer holds the changes since the revision that is known.
+    HistoryGone,
+    /// The answer cannot be understood.
+    Malformed,
+}
+
+/// What a node does for the others' reading.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReaderRole {
+    /// Watches the platform and relays what it reads.
+    Watcher,
+    /// Reads the platform and relays once no watcher is heard.
+    Standby,
+    /// Reads for itself only when neither is heard.
+    Follower,
+}
--- /dev/null
+++ b/crates/pointvane-dispatch/src/reader/nodes.rs
@@ -0,0 +1,127 @@
+//! What becomes of other nodes' relays and answers, and what this node answers to their queries.
+
+use {
+    super::{CatchUp, PlatformReader, ReaderRole},
+    crate::{
+        relay::Relay,
+        state_query::{KnownState, ReadMark, StateReply, StateRequest},
+    },
+    pointvane_core::{Change, Name, US_PER_MS},
+};
+
+/// Upstreams beyond which a node that needs all of them has to read the platform.
+///
+/// Worked out, not measured: some hundred KB for each of hundreds of nodes would fill the links of those that are queried.
+const WHOLE_STATE_UPSTREAMS_MAX: usize = 512;
+
+/// All upstreams as changes, unless there are too many.
+fn whole_state(known: &impl KnownState) -> Option<Vec<Change>> {
+    let upstreams = known.upstreams();
+    let few = upstreams.len() <= WHOLE_STATE_UPSTREAMS_MAX;
+    few.then(|| upstreams.into_iter().map(Change::Upstream).collect())
+}
+
+impl PlatformReader {
+    /// Takes another node's relay; gives what is to be applied.
+    ///
+    /// `position` is this node's in the order in which nodes query each other, from 0 for the first to 1.
+    pub fn receive_relay(&mut self, relay: Relay, position: f64, now_us: u64) -> Vec<Change> {
+        let older = relay.mark.revision < self.mark.revision || relay.age_ms >= self.options.lease_ms;
+        if self.snapshot.is_some() || older {
+            return Vec::new();
+        }
+        let gap = relay.mark.revision > self.mark.revision && relay.since > self.mark.revision;
+        if gap || relay.mark.version > self.mark.version {
+            self.begin_catch_up(relay.mark, position, now_us);
+            return Vec::new();
+        }
+        self.no_reader_heard = false;
+        self.freshness.confirm(now_us.saturating_sub(relay.age_ms * US_PER_MS), &self.options);
+        self.advance_to(relay.mark.revision, &relay.changes);
+        relay.changes
+    }
+
+    fn begin_catch_up(&mut self, wanted: ReadMark, position: f64, now_us: u64) {
+        if self.catch_up.is_some() || (self.role == ReaderRole::Watcher && self.watching) {
+            // It is under way already, or the watch under way will bring what is missing.
+            return;
+        }
+        let delay_ms = (self.options.spread_ms as f64 * position) as u64;
+        let peer_queries = if self.role == ReaderRole::Watcher { 0 } else { self.options.peer_queries };
+        self.catch_up = Some(CatchUp { wanted, query_at_us: now_us + delay_ms * US_PER_MS, peer_queries });
+    }
+
+    /// Takes this node's role, and the latest revision that any peer has read.
+    pub fn compare_with_peers(&mut self, role: ReaderRole, latest: u64, now_us: u64) {
+        self.role = role;
+        let ahead = latest > self.mark.revision;
+        self.freshness.set_peers_ahead(ahead, now_us);
+        let busy = self.snapshot.is_some() || now_us < self.pause_until_us || self.catch_up.is_some();
+        if !ahead || busy {
+            self.behind_since_us = None;
+            return;
+        }
+        let since_us = *self.behind_since_us.get_or_insert(now_us);
+        if now_us.saturating_sub(since_us) >= self.options.behind_ms * US_PER_MS {
+            self.behind_since_us = None;
+            self.watching = false;
+            self.begin_catch_up(ReadMark { revision: latest, version: 0 }, 0.0, now_us);
+        }
+    }
+
+    /// Answers another node's query from what this one knows, if that is more and current.
+    pub fn answer(
+        &self,
+        request: &StateRequest,
+        known_here: &impl KnownState,
+        now_us: u64,
+    ) -> Option<StateReply> {
+        let age_ms = self.current_age_ms(now_us)?;
+        let known = request.known;
+        if self.mark.revision < known.revision || self.mark == known {
+            return None;
+        }
+        let steps = if known.revision == 0 { None } else { self.log.changes_since(known.revision) };
+        let whole = steps.is_none();
+        let changes = match steps {
+            Some(steps) => steps,
+            None => whole_state(known_here)?,
+        };
+        let configuration = (known.version < self.mark.version).then(|| known_here.configuration());
+        Some(StateReply::new(self.mark, age_ms, whole, changes, configuration))
+    }
+
+    /// Takes another node's answer; `known` are the upstreams that this node knows. Gives what is to be applied.
+    pub fn receive_state<'n>(
+        &mut self,
+        reply: StateReply,
+        known: impl Iterator<Item = &'n Name>,
+        now_us: u64,
+    ) -> Vec<Change> {
+        let snapshot_begun = self.snapshot.as_ref().is_some_and(|snapshot| !snapshot.is_unbegun());
+        let useful = reply.age_ms < self.options.lease_ms && reply.leads_from(self.mark);
+        if snapshot_begun || !useful || (self.mark.revision == 0 && !reply.whole) {
+            self.query_failed(now_us);
+            return Vec::new();
+        }
+        let StateReply { mark, whole, .. } = reply;
+        self.freshness.confirm(now_us.saturating_sub(reply.age_ms * US_PER_MS), &self.options);
+        let changes = reply.into_changes(known);
+        self.mark.version = self.mark.version.max(mark.version);
+        if self.snapshot.take().is_some() {
+            self.pause_after_start(now_us);
+        }
+        match whole {
+            true => self.restart_at(mark.revision),
+            false => self.advance_to(mark.revision, &changes),
+        }
+        changes
+    }
+
+    /// Takes note that a peer told nothing. After a start there is a pause before the next query.
+    pub fn query_failed(&mut self, now_us: u64) {
+        if self.snapshot.is_some() && self.start_queries > 0 {
+            self.pause_until_us = now_us + self.options.start_pause_ms * US_PER_MS;
+        }
+    }
+}
--- /dev/null
+++ b/crates/pointvane-dispatch/src/reader/options.rs
@@ -0,0 +1,82 @@
+//! Times and counts of reading the platform.
+
+/// Times and counts of reading the platform.
+///
+/// The users' rules bound how long a published change may take to be in force, also when watchers fail; the tests of
+/// `tests/reader.rs` play these times against a simulated platform. Figures marked so were not measured at other values.
+#[derive(Clone, Copy, Debug)]
+pub struct ReaderOptions {
+    /// Longest wait of a watcher for a change, in milliseconds. Not measured.
+    ///
+    /// A watch that hangs since the platform went away is noticed only when its wait is over.
+    pub wait_ms: u64,
+    /// Longest time for an answer of the platform beyond the wait that was asked for, in milliseconds. Not measured.
+    pub timeout_ms: u64,
+    /// Longest time for a peer's answer, in milliseconds. Not measured.
+    pub peer_timeout_ms: u64,
+    /// Peers that are queried for a state before the platform is. Queries took the calls to the platform on grown Heatline
+    /// from 1,263 to 220 (docs/MEASUREMENTS.md, "The round on NEWS-24").
+    pub peer_queries: u32,
+    /// Peers that are queried after the start before the platform is. Not measured at other values.
+    pub start_queries: u32,
+    /// Longest time for each of their answers, in milliseconds: when all nodes start together, none knows anything.
+    ///
+    /// A short one was kept together with the probe savings (docs/MEASUREMENTS.md, as above: 0.628).
+    pub start_timeout_ms: u64,
+    /// Pause between two of these queries, in milliseconds.
+    pub start_pause_ms: u64,
+    /// Time over which all nodes query peers for a new state, in milliseconds. Not measured.
+    pub spread_ms: u64,
+    /// Pause of a watcher between an answer with changes and the next call, in milliseconds, so that changes come in
+    /// batches. Not measured apart; batches of 1 s were used first (docs/MEASUREMENTS.md, "The way there").
+    pub settle_ms: u64,
+    /// First pause after a failed call, in milliseconds; it doubles. Not measured.
+    pub retry_ms: u64,
+    /// Longest pause of a watcher after failed calls, in milliseconds. Not measured.
+    pub retry_max_ms: u64,
+    /// Longest pause of all other nodes after failed calls, in milliseconds: their calls add up. Not measured.
+    pub retry_others_max_ms: u64,
+    /// Time after which a peer's later revision makes this node catch up, in milliseconds. Not measured.
+    pub behind_ms: u64,
+    /// Lease: age of the platform's last answer up to which it counts as current, in milliseconds. Not measured.
+    pub lease_ms: u64,
+    /// Shortest time that a follower waits for a standby's relay after the lease, in milliseconds. Not measured.
+    pub follower_wait_min_ms: u64,
+    /// Longest such time, in milliseconds. Not measured.
+    pub follower_wait_max_ms: u64,
+    /// Time without the platform after which it may have dropped entries of live upstreams, in milliseconds. Not measured.
+    pub outage_ms: u64,
+    /// Grace period after its return within which such entries come back, in milliseconds.
+    ///
+    /// The users say about two seconds. With it a day with such an outage gave 0.837 on Heatline, 0.734 before
+    /// (docs/MEASUREMENTS.md, "The round on NEWS-24").
+    pub grace_ms: u64,
+    /// Time for which peers have read on after which an outage counts as this node's own, in milliseconds. Not measured.
+    pub own_outage_ms: u64,
+}
+
+impl Default for ReaderOptions {
+    fn default() -> Self {
+        Self {
+            wait_ms: 1_200,
+            timeout_ms: 700,
+            peer_timeout_ms: 200,
+            peer_queries: 2,
+            start_queries: 1,
+            start_timeout_ms: 40,
+            start_pause_ms: 0,
+            spread_ms: 300,
+            settle_ms: 300,
+            retry_ms: 100,
+            retry_max_ms: 400,
+            retry_others_max_ms: 1_600,
+            behind_ms: 500,
+            lease_ms: 1_450,
+            follower_wait_min_ms: 120,
+            follower_wait_max_ms: 280,
+            outage_ms: 2_500,
+            grace_ms: 2_200,
+            own_outage_ms: 1_000,
+        }
+    }
+}
--- a/crates/pointvane-dispatch/src/relay.rs
+++ b/crates/pointvane-dispatch/src/relay.rs
@@ -1,7 +1,7 @@
-//! What sentinels tell the other nodes of the platform.
+//! Relays: what watchers send to all other nodes of the platform's changes, and the log that relays are made of.
 
 use {
-    crate::{fan_out::Segment, state::ReadMark},
+    crate::{fan_out::Segment, state_query::ReadMark},
     pointvane_core::{Change, Name, UpstreamRecord},
     serde::{Deserialize, Serialize},
     std::{
@@ -11,26 +11,27 @@
     },
 };
 
-/// Changes that one relay holds at most, so that it fits a datagram.
+/// Changes that one relay contains at most, so that it fits a datagram. Worked out, not measured; one that does not fit is
+/// sent without changes.
 const RELAYED_MAX: usize = 20;
-/// Changes that a log keeps at most.
+/// Changes that a log keeps at most. Not measured: it bounds memory.
 const KEPT_MAX: usize = 256;
 
-/// What a sentinel tells all others: how far the platform is read, how long ago it answered, and what changed last.
+/// What a watcher sends to all others: how far the platform is read, how long ago it answered, and the last changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Relay {
-    /// The revision that the changes follow on; a node that knows this one or a later one can take them.
+    /// The revision that the changes follow on; a node that knows this one or a later one can apply them.
     pub since: u64,
-    /// How far the sentinel has read. A node that has an older configuration must ask for the newer one.
+    /// How far the watcher has read. A node that has an older configuration has to query for the newer one.
     pub mark: ReadMark,
-    /// Age of the platform's last answer to the sentinel, in milliseconds.
+    /// Age of the platform's last answer to the watcher, in milliseconds.
     pub age_ms: u64,
     /// The changes of upstreams, oldest first.
     pub changes: Vec<Change>,
 }
 
 impl Relay {
-    /// The same without the changes: a node that lacks them has to ask.
+    /// The same without the changes: a node that lacks them has to query for them.
     pub fn without_changes(self) -> Self {
         Self { since: self.mark.revision, changes: Vec::new(), ..self }
     }
@@ -48,11 +49,11 @@
 /// A relay on its way through the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RelayDatagram {
-    /// Where the node that relays answers questions.
+    /// Where the watcher answers queries.
     pub origin: SocketAddr,
-    /// Count of its relays; those of a later life begin anew.
+    /// Number of the relay; later relays of the same origin have higher ones.
     pub round: u64,
-    /// Where the receiver passes it on.
+    /// The range of nodes that the receiver forwards it to.
     pub segment: Segment,
     /// The relay.
     pub relay: WireRelay,
@@ -68,7 +69,7 @@
 }
 
 impl WireChange {
-    /// The change, unless it is a configuration: these are asked for.
+    /// The change, unless it is a configuration: these are queried for.
     pub fn new(change: Change) -> Option<Self> {
         match change {
             Change::Upstream(record) => Some(Self::Upstream(record)),
@@ -108,10 +109,9 @@
     changes: Vec<Change>,
 }
 
-/// The last changes of upstreams that a node has heard of, for those that missed them: of each upstream the last word
-/// only.
+/// The last changes of upstreams that a node has seen, for nodes that missed them: of each upstream the last one only.
 ///
-/// A node may take them though it holds some of them already, since none of them undoes another.
+/// A node may apply changes that it has applied before, since none of them undoes another.
 #[derive(Clone, Debug, Default)]
 pub struct RelayLog {
     batches: VecDeque<Batch>,
@@ -131,15 +131,15 @@
         let since = mem::replace(&mut self.revision, revision);
         let upstreams = changes.iter().filter(|change| change.upstream().is_some());
         self.batches.push_back(Batch { since, changes: upstreams.cloned().collect() });
-        self.keep_last_words();
+        self.drop_overtaken();
         let mut kept: usize = self.batches.iter().map(|batch| batch.changes.len()).sum();
         while kept > KEPT_MAX || self.batches.len() > KEPT_MAX {
             kept -= self.batches.pop_front().map_or(0, |batch| batch.changes.len());
         }
     }
 
-    /// Leaves out what a later change of the same upstream has overtaken.
-    fn keep_last_words(&mut self) {
+    /// Drops changes that a later one of the same upstream has overtaken.
+    fn drop_overtaken(&mut self) {
         let mut seen: HashSet<Name> = HashSet::new();
         for batch in self.batches.iter_mut().rev() {
             let kept = mem::take(&mut batch.changes).into_iter().rev();
@@ -159,7 +159,7 @@
         Some(self.batches.iter().skip(first).flat_map(|batch| batch.changes.iter().cloned()).collect())
     }
 
-    /// What is told: as many of the last changes as a relay holds.
+    /// A relay with as many of the last changes as it may contain.
     pub fn relay(&self, mark: ReadMark, age_ms: u64) -> Relay {
         let mut room = RELAYED_MAX;
         let fits = |batch: &&Batch| {
@@ -167,9 +167,9 @@
             room = room.saturating_sub(batch.changes.len());
             fits
         };
-        let told: Vec<&Batch> = self.batches.iter().rev().take_while(fits).collect();
-        let since = told.last().map_or(mark.revision, |batch| batch.since);
-        let changes = told.iter().rev().flat_map(|batch| batch.changes.iter().cloned()).collect();
+        let relayed: Vec<&Batch> = self.batches.iter().rev().take_while(fits).collect();
+        let since = relayed.last().map_or(mark.revision, |batch| batch.since);
+        let changes = relayed.iter().rev().flat_map(|batch| batch.changes.iter().cloned()).collect();
         Relay { since, mark, age_ms, changes }
     }
 }
--- a/crates/pointvane-dispatch/src/routes.rs
+++ b/crates/pointvane-dispatch/src/routes.rs
@@ -1,4 +1,7 @@
-//! From a request's host and path to its route, and from a route to one of its services.
+//! Routing: from a request's host and path to its route, and to one of the route's services, drawn by weight.
+//!
+//! Inputs: the configuration in force, host and path of the request. The longest path prefix of the host wins. Tests:
+//! `the_longest_prefix_of_the_host_wins`, `a_split_gives_each_service_its_weight`.
 
 use {
     pointvane_core::{CallerLimits, Name, RouteRule, RoutingConfiguration, ServiceRule},
@@ -16,14 +19,14 @@
     health_paths: HashMap<Name, Name>,
 }
 
-/// What the table says of one request.
+/// Where one request goes.
 #[derive(Clone, Debug)]
 pub struct RoutedRequest {
     /// The route.
     pub route: Arc<RouteRule>,
     /// The service that this request goes to.
     pub service: Name,
-    /// The version that said so.
+    /// The version of the configuration that said so.
     pub version: u64,
 }
 
@@ -51,7 +54,7 @@
         self.version
     }
 
-    /// The configuration that the table was made of.
+    /// The configuration that the table was made from.
     pub fn configuration(&self) -> RoutingConfiguration {
         let routes = self.by_host.values().flatten().map(|route| RouteRule::clone(route));
         let service = |(name, health_path): (&Name, &Name)| ServiceRule {
@@ -66,12 +69,12 @@
         }
     }
 
-    /// What callers are held to.
+    /// Limits for callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Path on which a service's upstreams tell their health.
+    /// Path on which a service's upstreams report their health and load.
     pub fn health_path(&self, service: &Name) -> Option<&Name> {
         self.health_paths.get(service)
     }
--- a/crates/pointvane-dispatch/src/state.rs
+++ b/crates/pointvane-dispatch/src/state_query.rs
@@ -1,4 +1,4 @@
-//! What one node asks another for, and what that tells of the platform: the state that a relay has no room for.
+//! Queries between nodes for what a relay has no room for: the messages, and how an answer is applied.
 
 use {
     crate::relay::WireChange,
@@ -17,38 +17,38 @@
 }
 
 impl ReadMark {
-    /// Whether nothing of the other is missing here.
+    /// Whether everything up to the other mark is known.
     pub fn covers(self, other: Self) -> bool {
         self.revision >= other.revision && self.version >= other.version
     }
 }
 
-/// What a node can tell of the platform, beside the last changes.
-pub trait HeldState {
-    /// All upstreams whose entries stand.
+/// What a node knows of the platform, beside the last changes.
+pub trait KnownState {
+    /// All upstreams but those in their grace period.
     fn upstreams(&self) -> Vec<UpstreamRecord>;
     /// The configuration in force.
     fn configuration(&self) -> RoutingConfiguration;
 }
 
-/// A question for what the asker does not know yet.
+/// A query for what a node does not know yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateRequest {
-    /// What it knows.
+    /// What the querying node knows.
     pub known: ReadMark,
 }
 
-/// The answer of a node that knows more and has it from the platform's young word; others tell nothing.
+/// The answer of a node that knows more, by a current answer of the platform.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StateReply {
-    /// What the answer leads to.
+    /// What is known after it is applied.
     pub mark: ReadMark,
-    /// Age of the platform's word, in milliseconds.
+    /// Age of the platform's answer behind it, in milliseconds.
     pub age_ms: u64,
-    /// Whether the changes are all upstreams there are, and not only what the asker lacks.
+    /// Whether the changes list all upstreams, and not only those that changed.
     pub whole: bool,
     changes: Vec<WireChange>,
-    /// The configuration, if the asker has an older one.
+    /// The configuration, if the querying node has an older one.
     pub configuration: Option<RoutingConfiguration>,
 }
 
@@ -70,23 +70,23 @@
         }
     }
 
-    /// Whether it leads from what is known to its mark.
+    /// Whether a node that knows `known` knows everything up to the reply's mark by it.
     pub fn leads_from(&self, known: ReadMark) -> bool {
-        let told = self.configuration.as_ref().map(|configuration| configuration.version);
-        let configured = known.version >= self.mark.version || told == Some(self.mark.version);
+        let brought = self.configuration.as_ref().map(|configuration| configuration.version);
+        let configured = known.version >= self.mark.version || brought == Some(self.mark.version);
         configured && self.mark.revision >= known.revision
     }
 
-    /// What is to be applied; `known` are the upstreams that the asker knows.
+    /// What is to be applied; `known` are the upstreams that the querying node knows.
     pub fn into_changes<'n>(self, known: impl Iterator<Item = &'n Name>) -> Vec<Change> {
-        let told: Vec<Change> = self.changes.into_iter().map(Change::from).collect();
-        let listed: HashSet<&Name> = told.iter().filter_map(Change::upstream).collect();
+        let upstreams: Vec<Change> = self.changes.into_iter().map(Change::from).collect();
+        let listed: HashSet<&Name> = upstreams.iter().filter_map(Change::upstream).collect();
         let gone: Vec<Change> = match self.whole {
             true => known.filter(|id| !listed.contains(id)).cloned().map(Change::UpstreamGone).collect(),
             false => Vec::new(),
         };
         let configuration =
             self.configuration.map(|configuration| Change::Configuration(Box::new(configuration)));
-        configuration.into_iter().chain(told).chain(gone).collect()
+        configuration.into_iter().chain(upstreams).chain(gone).collect()
     }
 }
--- a/crates/pointvane-dispatch/tests/fan_out.rs
+++ b/crates/pointvane-dispatch/tests/fan_out.rs
@@ -2,7 +2,9 @@
 
 use {
     googletest::prelude::*,
-    pointvane_dispatch::{Delegate, FAN_OUT, HeardRounds, LineNode, Segment, delegates, fan_out, line_place},
+    pointvane_dispatch::{
+        FAN_OUT, Forwarder, OrderedNode, ReceivedRounds, Segment, broadcast_position, fan_out, forwarders,
+    },
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::collections::BTreeMap,
 };
@@ -25,16 +27,16 @@
     rng: &mut SmallRng,
 ) -> Told {
     let mut told = Told { times: BTreeMap::new(), busiest: 0, hops: 0 };
-    let mut tellers = vec![Delegate { node: 0, segment: Segment::ALL }];
+    let mut tellers = vec![Forwarder { node: 0, segment: Segment::ALL }];
     while !tellers.is_empty() {
         let mut next = Vec::new();
-        for Delegate { node, segment } in tellers {
+        for Forwarder { node, segment } in tellers {
             let others =
                 (0..hashes.len()).filter(|other| *other != node && *other != 0 && knows(node, *other));
-            let mut others: Vec<_> = others.map(|node| LineNode { hash: hashes[node], node }).collect();
-            let delegates = delegates(segment, hashes[node], &mut others, fan_out, rng);
-            told.busiest = told.busiest.max(delegates.len());
-            for delegate in delegates {
+            let mut others: Vec<_> = others.map(|node| OrderedNode { hash: hashes[node], node }).collect();
+            let forwarders = forwarders(segment, hashes[node], &mut others, fan_out, rng);
+            told.busiest = told.busiest.max(forwarders.len());
+            for delegate in forwarders {
                 *told.times.entry(delegate.node).or_default() += 1;
                 if works(delegate.node) {
                     next.push(delegate);
@@ -81,7 +83,7 @@
     let (one, two): (u64, u64) = (rng.random(), rng.random());
     let mut places: Vec<(u64, u64)> = (0..200)
         .map(|number| if number % 2 == 0 { one } else { two })
-        .map(|centre| (line_place(centre, rng.random()), centre))
+        .map(|centre| (broadcast_position(centre, rng.random()), centre))
         .collect();
     places.sort_unstable();
     let changes = places.windows(2).filter(|pair| pair[0].1 != pair[1].1).count();
@@ -121,7 +123,7 @@
 #[gtest]
 fn an_old_word_that_comes_late_counts_no_more() {
     let (one, two) = ("10.0.0.1:7660".parse().unwrap(), "10.0.0.2:7660".parse().unwrap());
-    let mut heard = HeardRounds::default();
+    let mut heard = ReceivedRounds::default();
     expect_that!(heard.is_new(one, 5, S), eq(true));
     expect_that!(heard.is_new(one, 5, S), eq(false), "by another way");
     expect_that!(heard.is_new(one, 4, S), eq(false), "from a node that was frozen");
--- a/crates/pointvane-dispatch/tests/fleet/mod.rs
+++ b/crates/pointvane-dispatch/tests/fleet/mod.rs
@@ -1,11 +1,11 @@
-//! A fleet of feeds before a platform that changes, falls silent and comes back; all time is given.
+//! A fleet of readers before a platform that changes, falls silent and comes back; all time is given.
 
 use {
     crate::common::{configuration, configured, page, told},
     pointvane_core::{Change, RoutingConfiguration, UpstreamRecord},
     pointvane_dispatch::{
-        CallFailure, Feed, FeedCall, FeedOptions, HeldState, ReadMark, ReaderRole, Relay, SpreadPeer,
-        StateReply, Whom, earlier_peer,
+        CallFailure, KnownState, PlatformReader, QueryCandidate, QueryTarget, ReadMark, ReaderCall,
+        ReaderOptions, ReaderRole, Relay, StateReply, earlier_peer,
     },
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::ops::Range,
@@ -51,7 +51,7 @@
     fn is_silent(&self, role: ReaderRole, now_ms: u64) -> bool {
         let reached = match self.silent_to {
             Silent::All | Silent::Refusing => true,
-            Silent::Sentinels => role == ReaderRole::Sentinel,
+            Silent::Sentinels => role == ReaderRole::Watcher,
             Silent::Readers => role != ReaderRole::Follower,
         };
         reached && self.silent_ms.contains(&now_ms)
@@ -79,7 +79,7 @@
 
 /// A call of a node that has not been answered.
 struct Pending {
-    call: FeedCall,
+    call: ReaderCall,
     due_ms: u64,
     dead_ms: u64,
     hangs: bool,
@@ -88,7 +88,7 @@
 /// What a node of these runs holds.
 struct SimHeld(ReadMark);
 
-impl HeldState for SimHeld {
+impl KnownState for SimHeld {
     fn upstreams(&self) -> Vec<UpstreamRecord> {
         Vec::new()
     }
@@ -98,12 +98,12 @@
     }
 }
 
-/// One node of a run, with its feed and the call it waits for.
+/// One node of a run, with its reader and the call it waits for.
 struct SimNode {
-    feed: Feed,
+    reader: PlatformReader,
     role: ReaderRole,
-    /// Place in the order in which nodes ask each other.
-    order: f64,
+    /// Position in the order in which nodes query each other.
+    position: f64,
     pending: Option<Pending>,
     calls: u32,
     told: bool,
@@ -112,72 +112,72 @@
 impl SimNode {
     fn new(seed: u64, number: usize, nodes: usize) -> Self {
         let role = match number {
-            _ if number < SENTINELS => ReaderRole::Sentinel,
-            _ if number < SENTINELS + DEPUTIES => ReaderRole::Deputy,
+            _ if number < SENTINELS => ReaderRole::Watcher,
+            _ if number < SENTINELS + DEPUTIES => ReaderRole::Standby,
             _ => ReaderRole::Follower,
         };
-        let options = FeedOptions { start_asks: 0, ..FeedOptions::default() };
-        let feed = Feed::new(options, seed);
-        let order = number as f64 / nodes as f64;
-        Self { feed, role, order, pending: None, calls: 0, told: false }
+        let options = ReaderOptions { start_queries: 0, ..ReaderOptions::default() };
+        let reader = PlatformReader::new(options, seed);
+        let position = number as f64 / nodes as f64;
+        Self { reader, role, position, pending: None, calls: 0, told: false }
     }
 
     fn step(&mut self, platform: &SimPlatform, now_ms: u64) {
         self.finish_call(platform, now_ms);
         let watches =
-            self.pending.as_ref().is_some_and(|pending| matches!(pending.call, FeedCall::Watch { .. }));
-        if self.feed.is_behind() && watches {
+            self.pending.as_ref().is_some_and(|pending| matches!(pending.call, ReaderCall::Watch { .. }));
+        if self.reader.is_behind() && watches {
             self.pending = None;
         }
         if self.pending.is_some() {
             return;
         }
-        let call = self.feed.next(now_ms * MS);
-        let (wait_ms, patience_ms) = match call {
-            FeedCall::Rest { .. } => return,
-            FeedCall::AskPeer { patience_ms, .. } => (PEER_ANSWER_MS, patience_ms),
-            FeedCall::Watch { wait_ms, patience_ms, .. } => (wait_ms, patience_ms),
-            FeedCall::Snapshot { patience_ms, .. } => (0, patience_ms),
+        let call = self.reader.next(now_ms * MS);
+        let (wait_ms, timeout_ms) = match call {
+            ReaderCall::Wait { .. } => return,
+            ReaderCall::QueryPeer { timeout_ms, .. } => (PEER_ANSWER_MS, timeout_ms),
+            ReaderCall::Watch { wait_ms, timeout_ms, .. } => (wait_ms, timeout_ms),
+            ReaderCall::Snapshot { timeout_ms, .. } => (0, timeout_ms),
         };
-        let to_platform = !matches!(call, FeedCall::AskPeer { .. });
+        let to_platform = !matches!(call, ReaderCall::QueryPeer { .. });
         self.calls += u32::from(to_platform);
         let silent = platform.is_silent(self.role, now_ms);
         if silent && to_platform && platform.silent_to == Silent::Refusing {
-            return self.feed.failed(CallFailure::Unavailable, now_ms * MS);
+            return self.reader.call_failed(CallFailure::Unavailable, now_ms * MS);
         }
         let hangs = to_platform && silent;
-        self.pending = Some(Pending { call, due_ms: now_ms + wait_ms, dead_ms: now_ms + patience_ms, hangs });
+        self.pending = Some(Pending { call, due_ms: now_ms + wait_ms, dead_ms: now_ms + timeout_ms, hangs });
     }
 
     fn finish_call(&mut self, platform: &SimPlatform, now_ms: u64) {
         let Some(mut pending) = self.pending.take() else { return };
-        if matches!(pending.call, FeedCall::AskPeer { .. }) {
+        if matches!(pending.call, ReaderCall::QueryPeer { .. }) {
             self.pending = Some(pending);
             return;
         }
         pending.hangs |= platform.is_silent(self.role, now_ms);
         let revision = platform.revision(now_ms);
         let changed = match pending.call {
-            FeedCall::Watch { after, .. } => revision > after,
+            ReaderCall::Watch { after, .. } => revision > after,
             _ => true,
         };
         if now_ms >= pending.dead_ms {
-            self.feed.failed(CallFailure::Unavailable, now_ms * MS);
+            self.reader.call_failed(CallFailure::Unavailable, now_ms * MS);
         } else if pending.hangs || !(changed || now_ms >= pending.due_ms) {
             self.pending = Some(pending);
-        } else if matches!(pending.call, FeedCall::Watch { .. }) {
+        } else if matches!(pending.call, ReaderCall::Watch { .. }) {
             let changes = if changed { platform.changes(revision) } else { Vec::new() };
             self.told = true;
-            self.feed.watched(page(revision, changes), now_ms * MS);
+            self.reader.watch_answered(page(revision, changes), now_ms * MS);
         } else {
-            self.feed.read(page(revision, Vec::new()), [].iter(), now_ms * MS);
+            self.reader.page_read(page(revision, Vec::new()), [].iter(), now_ms * MS);
         }
     }
 
     /// The question to a peer that is due to be answered now.
-    fn asks(&self, now_ms: u64) -> Option<FeedCall> {
+    fn asks(&self, now_ms: u64) -> Option<ReaderCall> {
         let pending = self.pending.as_ref()?;
-        let asks = matches!(pending.call, FeedCall::AskPeer { .. }) && now_ms >= pending.due_ms;
+        let asks = matches!(pending.call, ReaderCall::QueryPeer { .. }) && now_ms >= pending.due_ms;
         asks.then(|| pending.call.clone())
     }
 }
@@ -192,27 +192,27 @@
 
 fn answer_questions(fleet: &mut [SimNode], network: SimNetwork, rng: &mut SmallRng, now_ms: u64) {
     for asker in 0..fleet.len() {
-        let Some(FeedCall::AskPeer { whom, request, .. }) = fleet[asker].asks(now_ms) else { continue };
-        let peer = peer_of(fleet, asker, whom, rng);
+        let Some(ReaderCall::QueryPeer { target, request, .. }) = fleet[asker].asks(now_ms) else { continue };
+        let peer = peer_of(fleet, asker, target, rng);
         let lost = network.cut || peer == asker || rng.random_bool(network.loss);
-        let held = SimHeld(fleet[peer].feed.mark());
+        let held = SimHeld(fleet[peer].reader.mark());
         let reply: Option<StateReply> =
-            if lost { None } else { fleet[peer].feed.answer(&request, &held, now_ms * MS) };
+            if lost { None } else { fleet[peer].reader.answer(&request, &held, now_ms * MS) };
         fleet[asker].pending = None;
         match reply {
-            Some(reply) => _ = fleet[asker].feed.hear_state(reply, [].iter(), now_ms * MS),
-            None => fleet[asker].feed.ask_failed(now_ms * MS),
+            Some(reply) => _ = fleet[asker].reader.receive_state(reply, [].iter(), now_ms * MS),
+            None => fleet[asker].reader.query_failed(now_ms * MS),
         }
     }
 }
 
-fn peer_of(fleet: &[SimNode], asker: usize, whom: Whom, rng: &mut SmallRng) -> usize {
+fn peer_of(fleet: &[SimNode], asker: usize, target: QueryTarget, rng: &mut SmallRng) -> usize {
     let teller = rng.random_range(0..SENTINELS);
     let peers = fleet.iter().enumerate().filter(|(node, _)| *node != asker);
-    let peers = peers.map(|(node, sim)| SpreadPeer { node, order: sim.order, near: true });
-    match whom {
-        Whom::Earlier => earlier_peer(fleet[asker].order, peers, rng).unwrap_or(teller),
-        Whom::Teller | Whom::Anyone => teller,
+    let peers = peers.map(|(node, sim)| QueryCandidate { node, position: sim.position, near: true });
+    match target {
+        QueryTarget::Earlier => earlier_peer(fleet[asker].position, peers, rng).unwrap_or(teller),
+        QueryTarget::Broadcaster | QueryTarget::Any => teller,
     }
 }
 
@@ -227,24 +227,24 @@
             known.iter().rev().find(|(at, _)| at + GOSSIP_MS <= now_ms).map_or(0, |(_, newest)| *newest);
         for node in &mut fleet {
             node.step(platform, now_ms);
-            node.feed.hear_peers(node.role, if network.cut { 0 } else { heard }, now_ms * MS);
+            node.reader.compare_with_peers(node.role, if network.cut { 0 } else { heard }, now_ms * MS);
         }
         answer_questions(&mut fleet, network, &mut rng, now_ms);
         for relay in relays(&mut fleet, now_ms) {
             for node in &mut fleet {
                 if !network.cut && !rng.random_bool(network.loss) {
-                    node.feed.hear_relay(relay.clone(), node.order, now_ms * MS);
+                    node.reader.receive_relay(relay.clone(), node.position, now_ms * MS);
                 }
             }
         }
-        known.push((now_ms, fleet.iter().map(|node| node.feed.mark().revision).max().unwrap_or(0)));
+        known.push((now_ms, fleet.iter().map(|node| node.reader.mark().revision).max().unwrap_or(0)));
         // One that the platform does not answer is not in touch.
         let in_touch = |node: &&SimNode| {
             matches!(platform.silent_to, Silent::All | Silent::Refusing)
                 || !platform.is_silent(node.role, now_ms)
         };
         let revision = platform.revision(now_ms);
-        if fleet.iter().filter(in_touch).any(|node| node.feed.mark().revision < revision) {
+        if fleet.iter().filter(in_touch).any(|node| node.reader.mark().revision < revision) {
             all_known_ms = now_ms;
         }
     }
@@ -252,12 +252,12 @@
 }
 
 fn relays(fleet: &mut [SimNode], now_ms: u64) -> Vec<Relay> {
-    let speaks = |node: &mut SimNode| {
-        let told = std::mem::take(&mut node.told) && node.feed.speaks();
-        told || (node.feed.is_sentinel() && now_ms % RELAY_MS < STEP_MS)
+    let broadcasts = |node: &mut SimNode| {
+        let told = std::mem::take(&mut node.told) && node.reader.broadcasts();
+        told || (node.reader.is_watcher() && now_ms % RELAY_MS < STEP_MS)
     };
     fleet
         .iter_mut()
-        .filter_map(|node| if speaks(node) { node.feed.relay(now_ms * MS) } else { None })
+        .filter_map(|node| if broadcasts(node) { node.reader.relay(now_ms * MS) } else { None })
         .collect()
 }
--- a/crates/pointvane-dispatch/tests/feed.rs
+++ b/crates/pointvane-dispatch/tests/reader.rs
@@ -8,12 +8,12 @@
     fleet::{CUT, MS, SOUND, STEP_MS, Silent, SimNetwork, SimPlatform, play},
     googletest::prelude::*,
     pointvane_core::{Change, ChangePage, Name},
-    pointvane_dispatch::{CallFailure, Feed, FeedCall, FeedOptions},
+    pointvane_dispatch::{CallFailure, PlatformReader, ReaderCall, ReaderOptions},
 };
 
-/// A feed that asks no peers at its start.
-fn feed() -> Feed {
-    Feed::new(FeedOptions { start_asks: 0, ..FeedOptions::default() }, 1)
+/// A reader that asks no peers at its start.
+fn reader() -> PlatformReader {
+    PlatformReader::new(ReaderOptions { start_queries: 0, ..ReaderOptions::default() }, 1)
 }
 
 #[gtest]
@@ -130,40 +130,40 @@
 
 #[gtest]
 fn a_read_of_everything_forgets_what_is_no_longer_listed() {
-    let mut feed = feed();
+    let mut reader = reader();
     let known: [Name; 2] = ["one".into(), "two".into()];
-    let changes = feed.read(page(5, vec![told("two", 1)]), known.iter(), MS);
+    let changes = reader.page_read(page(5, vec![told("two", 1)]), known.iter(), MS);
     expect_that!(changes, contains(eq(&Change::UpstreamGone("one".into()))));
     expect_that!(changes, not(contains(eq(&Change::UpstreamGone("two".into())))));
 }
 
 #[gtest]
 fn pages_are_watched_again_from_the_first_pages_revision() {
-    let mut feed = feed();
+    let mut reader = reader();
     let first = ChangePage { next_page: Some("m".into()), ..page(5, vec![told("a", 1)]) };
-    feed.read(first, [].iter(), MS);
-    expect_that!(feed.next(MS), matches_pattern!(FeedCall::Snapshot { next_page: some(eq("m")), .. }));
+    reader.page_read(first, [].iter(), MS);
+    expect_that!(reader.next(MS), matches_pattern!(ReaderCall::Snapshot { next_page: some(eq("m")), .. }));
     let known: [Name; 1] = ["a".into()];
-    let changes = feed.read(page(9, vec![told("n", 1)]), known.iter(), MS);
+    let changes = reader.page_read(page(9, vec![told("n", 1)]), known.iter(), MS);
     expect_that!(changes.len(), eq(1), "an upstream of the first page is not gone");
-    expect_that!(feed.next(1_000 * MS), matches_pattern!(FeedCall::Watch { after: eq(&5), .. }));
+    expect_that!(reader.next(1_000 * MS), matches_pattern!(ReaderCall::Watch { after: eq(&5), .. }));
 }
 
 #[gtest]
 fn a_history_that_is_gone_makes_it_read_everything_at_once() {
-    let mut feed = feed();
-    feed.read(page(5, Vec::new()), [].iter(), MS);
-    feed.failed(CallFailure::HistoryGone, 2 * MS);
-    expect_that!(feed.next(2 * MS), matches_pattern!(FeedCall::Snapshot { next_page: none(), .. }));
+    let mut reader = reader();
+    reader.page_read(page(5, Vec::new()), [].iter(), MS);
+    reader.call_failed(CallFailure::HistoryGone, 2 * MS);
+    expect_that!(reader.next(2 * MS), matches_pattern!(ReaderCall::Snapshot { next_page: none(), .. }));
 }
 
 #[gtest]
 fn a_platform_that_went_back_is_read_anew() {
-    let mut feed = feed();
-    feed.read(page(50, Vec::new()), [].iter(), MS);
+    let mut reader = reader();
+    reader.page_read(page(50, Vec::new()), [].iter(), MS);
     // A page answers a call: what counts is the revision that the call was made after.
-    expect_that!(feed.next(1_000 * MS), matches_pattern!(FeedCall::Watch { after: eq(&50), .. }));
+    expect_that!(reader.next(1_000 * MS), matches_pattern!(ReaderCall::Watch { after: eq(&50), .. }));
     let older = vec![configured(3)];
-    expect_that!(feed.watched(page(20, older), 1_001 * MS), is_empty());
-    expect_that!(feed.next(1_001 * MS), matches_pattern!(FeedCall::Snapshot { .. }));
+    expect_that!(reader.watch_answered(page(20, older), 1_001 * MS), is_empty());
+    expect_that!(reader.next(1_001 * MS), matches_pattern!(ReaderCall::Snapshot { .. }));
 }
--- a/crates/pointvane-dispatch/tests/relays.rs
+++ b/crates/pointvane-dispatch/tests/relays.rs
@@ -6,27 +6,27 @@
     common::{gone, page, record, told},
     googletest::prelude::*,
     pointvane_core::{Change, Name, UpstreamRecord},
-    pointvane_dispatch::{Feed, FeedOptions, Pool, RankingOptions, ReaderRole, Relay, Wanted},
+    pointvane_dispatch::{PlatformReader, Pool, RankingOptions, ReaderOptions, ReaderRole, Relay, Wanted},
 };
 
 const MS: u64 = 1_000;
 
-/// A feed that has read everything at a revision.
-fn read_up_to(revision: u64) -> Feed {
-    let mut feed = Feed::new(FeedOptions::default(), 1);
-    feed.read(page(revision, Vec::new()), [].iter(), MS);
-    feed
+/// A reader that has read everything at a revision.
+fn read_up_to(revision: u64) -> PlatformReader {
+    let mut reader = PlatformReader::new(ReaderOptions::default(), 1);
+    reader.page_read(page(revision, Vec::new()), [].iter(), MS);
+    reader
 }
 
-fn sentinel() -> Feed {
-    let mut feed = read_up_to(5);
-    feed.hear_peers(ReaderRole::Sentinel, 5, MS);
-    feed
+fn sentinel() -> PlatformReader {
+    let mut reader = read_up_to(5);
+    reader.compare_with_peers(ReaderRole::Watcher, 5, MS);
+    reader
 }
 
 /// A node that hears relays, and the upstreams it knows.
 struct Listener {
-    feed: Feed,
+    reader: PlatformReader,
     pool: Pool,
 }
 
@@ -34,11 +34,11 @@
     fn new(ids: &[&str]) -> Self {
         let mut pool = Pool::new(RankingOptions::default(), "one".into(), 1);
         ids.iter().for_each(|id| _ = pool.upsert(record(id, 1), MS));
-        Self { feed: read_up_to(5), pool }
+        Self { reader: read_up_to(5), pool }
     }
 
     fn hear(&mut self, relay: Relay, now_us: u64) {
-        for change in self.feed.hear_relay(relay, 0.0, now_us) {
+        for change in self.reader.receive_relay(relay, 0.0, now_us) {
             match change {
                 Change::Upstream(record) => _ = self.pool.upsert(record, now_us),
                 Change::UpstreamGone(id) => _ = self.pool.remove(&id),
@@ -57,10 +57,10 @@
 fn an_upstream_that_lapsed_and_came_back_is_not_lost_when_a_later_relay_tells_it_again() {
     let mut sentinel = sentinel();
     let mut listener = Listener::new(&["a"]);
-    sentinel.watched(page(7, vec![gone("a"), told("a", 5)]), 10 * MS);
+    sentinel.watch_answered(page(7, vec![gone("a"), told("a", 5)]), 10 * MS);
     listener.hear(sentinel.relay(10 * MS).unwrap(), 11 * MS);
     expect_that!(listener.knows("a"), eq(true));
-    sentinel.watched(page(8, vec![told("b", 1)]), 400 * MS);
+    sentinel.watch_answered(page(8, vec![told("b", 1)]), 400 * MS);
     listener.hear(sentinel.relay(400 * MS).unwrap(), 401 * MS);
     expect_that!(listener.knows("a"), eq(true));
     expect_that!(listener.knows("b"), eq(true));
@@ -69,9 +69,9 @@
 #[gtest]
 fn a_relay_tells_only_the_last_word_on_each_upstream() {
     let mut sentinel = sentinel();
-    sentinel.watched(page(6, vec![told("a", 1), told("b", 1)]), 10 * MS);
-    sentinel.watched(page(8, vec![gone("a"), told("a", 5)]), 400 * MS);
-    sentinel.watched(page(9, vec![gone("b")]), 800 * MS);
+    sentinel.watch_answered(page(6, vec![told("a", 1), told("b", 1)]), 10 * MS);
+    sentinel.watch_answered(page(8, vec![gone("a"), told("a", 5)]), 400 * MS);
+    sentinel.watch_answered(page(9, vec![gone("b")]), 800 * MS);
     let relay = sentinel.relay(800 * MS).unwrap();
     expect_that!(relay.since, eq(5));
     expect_that!(relay.changes, elements_are![eq(&told("a", 5)), eq(&gone("b"))]);
--- a/crates/pointvane-dispatch/tests/states.rs
+++ b/crates/pointvane-dispatch/tests/states.rs
@@ -7,7 +7,8 @@
     googletest::prelude::*,
     pointvane_core::{Change, Name, RoutingConfiguration, UpstreamRecord},
     pointvane_dispatch::{
-        Feed, FeedCall, FeedOptions, HeldState, ReadMark, ReaderRole, Relay, StateReply, StateRequest,
+        KnownState, PlatformReader, ReadMark, ReaderCall, ReaderOptions, ReaderRole, Relay, StateReply,
+        StateRequest,
     },
 };
 
@@ -20,7 +21,7 @@
     version: u64,
 }
 
-impl HeldState for Held {
+impl KnownState for Held {
     fn upstreams(&self) -> Vec<UpstreamRecord> {
         self.ids.iter().map(|id| record(id, 1)).collect()
     }
@@ -30,51 +31,51 @@
     }
 }
 
-/// A feed that the platform has told everything up to a revision and version.
-fn read_up_to(revision: u64, version: u64) -> Feed {
-    let mut feed = Feed::new(FeedOptions { start_asks: 0, ..FeedOptions::default() }, 1);
-    feed.read(page(revision, vec![configured(version)]), [].iter(), MS);
-    feed.hear_peers(ReaderRole::Follower, 0, MS);
-    feed
+/// A reader that the platform has told everything up to a revision and version.
+fn read_up_to(revision: u64, version: u64) -> PlatformReader {
+    let mut reader = PlatformReader::new(ReaderOptions { start_queries: 0, ..ReaderOptions::default() }, 1);
+    reader.page_read(page(revision, vec![configured(version)]), [].iter(), MS);
+    reader.compare_with_peers(ReaderRole::Follower, 0, MS);
+    reader
 }
 
 fn relay(revision: u64, version: u64, changes: Vec<Change>) -> Relay {
     Relay { since: revision - 1, mark: ReadMark { revision, version }, age_ms: 0, changes }
 }
 
-fn new_feed() -> Feed {
-    Feed::new(FeedOptions::default(), 1)
+fn new_reader() -> PlatformReader {
+    PlatformReader::new(ReaderOptions::default(), 1)
 }
 
-fn hear(feed: &mut Feed, reply: StateReply, now_us: u64) -> Vec<Change> {
+fn hear(reader: &mut PlatformReader, reply: StateReply, now_us: u64) -> Vec<Change> {
     let known: [Name; 1] = ["old".into()];
-    feed.hear_state(reply, known.iter(), now_us)
+    reader.receive_state(reply, known.iter(), now_us)
 }
 
 #[gtest]
 fn a_node_that_starts_asks_a_peer_before_the_platform() {
-    let mut feed = new_feed();
-    let asks = feed.next(0);
+    let mut reader = new_reader();
+    let asks = reader.next(0);
     // When all start together nobody knows anything: callers must not wait long for that.
-    let short = matches_pattern!(FeedCall::AskPeer { request: eq(&NOTHING), patience_ms: le(&50), .. });
+    let short = matches_pattern!(ReaderCall::QueryPeer { request: eq(&NOTHING), timeout_ms: le(&50), .. });
     expect_that!(asks, short);
-    feed.ask_failed(MS);
-    expect_that!(feed.next(MS), matches_pattern!(FeedCall::Snapshot { .. }));
+    reader.query_failed(MS);
+    expect_that!(reader.next(MS), matches_pattern!(ReaderCall::Snapshot { .. }));
 }
 
 #[gtest]
 fn what_a_peer_tells_a_node_that_starts_is_whole_and_needs_no_call_to_the_platform() {
     let peer = read_up_to(7, 3);
     let reply = peer.answer(&NOTHING, &Held { ids: &["a", "b"], version: 3 }, 300 * MS).unwrap();
-    let mut feed = new_feed();
-    feed.next(299 * MS);
-    let changes = hear(&mut feed, reply, 300 * MS);
+    let mut reader = new_reader();
+    reader.next(299 * MS);
+    let changes = hear(&mut reader, reply, 300 * MS);
     let gone = Change::UpstreamGone("old".into());
     expect_that!(changes, elements_are![eq(&configured(3)), eq(&told("a", 1)), eq(&told("b", 1)), eq(&gone)]);
-    expect_that!(feed.mark(), eq(ReadMark { revision: 7, version: 3 }));
-    feed.hear_peers(ReaderRole::Follower, 7, 400 * MS);
-    expect_that!(feed.next(1_400 * MS), matches_pattern!(FeedCall::Rest { .. }));
-    expect_that!(feed.next(2_000 * MS), matches_pattern!(FeedCall::Watch { after: eq(&7), .. }));
+    expect_that!(reader.mark(), eq(ReadMark { revision: 7, version: 3 }));
+    reader.compare_with_peers(ReaderRole::Follower, 7, 400 * MS);
+    expect_that!(reader.next(1_400 * MS), matches_pattern!(ReaderCall::Wait { .. }));
+    expect_that!(reader.next(2_000 * MS), matches_pattern!(ReaderCall::Watch { after: eq(&7), .. }));
 }
 
 #[gtest]
@@ -88,7 +89,7 @@
 /// A peer that holds many upstreams.
 struct ManyHeld(usize);
 
-impl HeldState for ManyHeld {
+impl KnownState for ManyHeld {
     fn upstreams(&self) -> Vec<UpstreamRecord> {
         (0..self.0).map(|number| record(&format!("i-{number}"), 1)).collect()
     }
@@ -114,35 +115,35 @@
 
 #[gtest]
 fn an_answer_that_lacks_the_newer_configuration_is_refused() {
-    let mut feed = read_up_to(5, 2);
+    let mut reader = read_up_to(5, 2);
     let mark = ReadMark { revision: 9, version: 3 };
     let reply = StateReply::new(mark, 0, false, Vec::new(), None);
-    expect_that!(hear(&mut feed, reply, 10 * MS), is_empty());
-    expect_that!(feed.mark(), eq(ReadMark { revision: 5, version: 2 }));
+    expect_that!(hear(&mut reader, reply, 10 * MS), is_empty());
+    expect_that!(reader.mark(), eq(ReadMark { revision: 5, version: 2 }));
 }
 
 #[gtest]
 fn an_answer_that_is_behind_changes_nothing() {
-    let mut feed = read_up_to(5, 2);
+    let mut reader = read_up_to(5, 2);
     let mark = ReadMark { revision: 4, version: 2 };
     let reply = StateReply::new(mark, 0, true, vec![told("a", 1)], None);
-    expect_that!(hear(&mut feed, reply, 10 * MS), is_empty());
-    expect_that!(feed.mark().revision, eq(5));
+    expect_that!(hear(&mut reader, reply, 10 * MS), is_empty());
+    expect_that!(reader.mark().revision, eq(5));
 }
 
 #[gtest]
 fn a_relayed_configuration_is_asked_of_peers_in_turn_then_of_the_platform() {
-    let mut feed = read_up_to(5, 2);
-    feed.hear_relay(relay(6, 3, Vec::new()), 0.5, 700 * MS);
-    expect_that!(feed.is_behind(), eq(true));
-    expect_that!(feed.next(700 * MS), matches_pattern!(FeedCall::Rest { until_us: eq(&(850 * MS)) }));
+    let mut reader = read_up_to(5, 2);
+    reader.receive_relay(relay(6, 3, Vec::new()), 0.5, 700 * MS);
+    expect_that!(reader.is_behind(), eq(true));
+    expect_that!(reader.next(700 * MS), matches_pattern!(ReaderCall::Wait { until_us: eq(&(850 * MS)) }));
     for _ in 0..2 {
-        expect_that!(feed.next(850 * MS), matches_pattern!(FeedCall::AskPeer { .. }));
-        feed.ask_failed(860 * MS);
+        expect_that!(reader.next(850 * MS), matches_pattern!(ReaderCall::QueryPeer { .. }));
+        reader.query_failed(860 * MS);
     }
     expect_that!(
-        feed.next(870 * MS),
-        matches_pattern!(FeedCall::Watch { after: eq(&5), wait_ms: le(&5), .. })
+        reader.next(870 * MS),
+        matches_pattern!(ReaderCall::Watch { after: eq(&5), wait_ms: le(&5), .. })
     );
 }
 
@@ -150,9 +151,9 @@
 fn a_peer_tells_only_the_steps_that_the_asker_lacks() {
     let mut peer = read_up_to(5, 2);
     peer.next(2_000 * MS);
-    peer.watched(page(6, vec![told("a", 1)]), 2_001 * MS);
+    peer.watch_answered(page(6, vec![told("a", 1)]), 2_001 * MS);
     peer.next(4_000 * MS);
-    peer.watched(page(8, vec![configured(4), told("b", 1)]), 4_001 * MS);
+    peer.watch_answered(page(8, vec![configured(4), told("b", 1)]), 4_001 * MS);
     let held = Held { ids: &["a", "b", "c"], version: 4 };
     let request = StateRequest { known: ReadMark { revision: 6, version: 2 } };
     let reply = peer.answer(&request, &held, 4_002 * MS).unwrap();
--- a/crates/pointvane-node/src/fleet.rs
+++ b/crates/pointvane-node/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The other nodes: who is there, who of them reads the platform, and whom to query for what this node lacks.
+//! The other nodes: who is there, who of them reads the platform, and which to query for what this node lacks.
 //!
 //! Owns the membership, the sockets to other nodes and the relays received from them. All nodes compute the roles of
 //! readers alike, by rendezvous hashing over the members they know; `gossip.rs` and `relay.rs` carry the messages.
@@ -7,8 +7,8 @@
     crate::settings::NodeSettings,
     pointvane_core::{Incarnation, Name, VmIdentity, VmState},
     pointvane_dispatch::{
-        Delegate, DirectoryMember, HeardRounds, LineNode, ReaderRole, RelayDatagram, SpreadPeer, Whom,
-        delegates, earlier_peer, fan_out, line_place, spread_order,
+        DirectoryMember, Forwarder, OrderedNode, QueryCandidate, QueryTarget, ReaderRole, ReceivedRounds,
+        RelayDatagram, broadcast_position, earlier_peer, fan_out, forwarders, query_position,
     },
     pointvane_mesh::{
         Action, EntryRow, GossipMessage, MemberRow, Membership, MembershipOptions, Stamp, Stamps,
@@ -46,7 +46,7 @@
     membership: RefCell<Membership>,
     gossip_socket: OnceCell<Rc<UdpSocket>>,
     relay_socket: OnceCell<Rc<UdpSocket>>,
-    heard_rounds: RefCell<HeardRounds>,
+    received_rounds: RefCell<ReceivedRounds>,
     relay_round: Cell<u64>,
     /// Where the node answers queries whose relay was received last.
     broadcaster: Cell<Option<SocketAddr>>,
@@ -68,7 +68,7 @@
             membership: RefCell::new(membership(settings, incarnation, seeder.random(), now_us)),
             gossip_socket: OnceCell::new(),
             relay_socket: OnceCell::new(),
-            heard_rounds: RefCell::default(),
+            received_rounds: RefCell::default(),
             // Rounds of a later life are higher than all rounds of this one.
             relay_round: Cell::new(incarnation.0),
             broadcaster: Cell::default(),
@@ -156,7 +156,7 @@
 
     /// Takes note of a relay; false if it is not newer than those received from its origin.
     pub fn is_new_relay(&self, datagram: &RelayDatagram, now_us: u64) -> bool {
-        let new = self.heard_rounds.borrow_mut().is_new(datagram.origin, datagram.round, now_us);
+        let new = self.received_rounds.borrow_mut().is_new(datagram.origin, datagram.round, now_us);
         if new {
             self.broadcaster.set(Some(datagram.origin));
         }
@@ -164,18 +164,18 @@
     }
 
     /// The nodes that a relay is passed on to.
-    pub fn relay_delegates(&self, datagram: &RelayDatagram) -> Vec<Delegate<SocketAddr>> {
+    pub fn relay_forwarders(&self, datagram: &RelayDatagram) -> Vec<Forwarder<SocketAddr>> {
         let membership = self.membership.borrow();
         let others = membership.rows().skip(1).filter(|row| row.state != VmState::Dead);
         let others = others.filter(|row| row.control_address() != datagram.origin);
-        let line = others.map(|row| LineNode {
+        let line = others.map(|row| OrderedNode {
             hash: relay_position(&row.identity),
             node: SocketAddr::new(row.identity.address, row.control_port + 1),
         });
         let own = relay_position(&membership.me().identity);
         let mut line: Vec<_> = line.collect();
         let fan_out = fan_out(line.len());
-        delegates(datagram.segment, own, &mut line, fan_out, &mut self.rng.borrow_mut())
+        forwarders(datagram.segment, own, &mut line, fan_out, &mut self.rng.borrow_mut())
     }
 
     /// What this node does for the others' reading of the platform.
@@ -184,24 +184,24 @@
         let readers = choose_readers(READER_SUBJECT, membership.rows(), WATCHERS + STANDBYS);
         let position = readers.iter().position(|name| *name == membership.me().identity.name);
         match position {
-            Some(position) if position < WATCHERS => ReaderRole::Sentinel,
-            Some(_) => ReaderRole::Deputy,
+            Some(position) if position < WATCHERS => ReaderRole::Watcher,
+            Some(_) => ReaderRole::Standby,
             None => ReaderRole::Follower,
         }
     }
 
-    /// This node's place in the order in which nodes query each other for a revision, from 0 to 1.
-    pub fn spread_order(&self, revision: u64) -> f64 {
+    /// This node's position in the order in which nodes query each other for a revision, from 0 to 1.
+    pub fn query_position(&self, revision: u64) -> f64 {
         let membership = self.membership.borrow();
-        spread_order(rank(&spread_subject(revision), &membership.me().identity.name))
+        query_position(rank(&query_subject(revision), &membership.me().identity.name))
     }
 
     /// The node to query for what it knows of the platform.
-    pub fn peer_to_query(&self, whom: Whom, settings: &NodeSettings) -> Option<SocketAddr> {
-        match whom {
-            Whom::Anyone => self.any_peer(settings),
-            Whom::Earlier => self.earlier_peer().or(self.broadcaster.get()),
-            Whom::Teller => self.broadcaster.get(),
+    pub fn peer_to_query(&self, target: QueryTarget, settings: &NodeSettings) -> Option<SocketAddr> {
+        match target {
+            QueryTarget::Any => self.any_peer(settings),
+            QueryTarget::Earlier => self.earlier_peer().or(self.broadcaster.get()),
+            QueryTarget::Broadcaster => self.broadcaster.get(),
         }
     }
 
@@ -220,26 +220,26 @@
     fn earlier_peer(&self) -> Option<SocketAddr> {
         let membership = self.membership.borrow();
         let me = &membership.me().identity;
-        let subject = spread_subject(self.latest_revision.get());
-        let order = |name: &Name| spread_order(rank(&subject, name));
+        let subject = query_subject(self.latest_revision.get());
+        let position = |name: &Name| query_position(rank(&subject, name));
         let live = membership.rows().skip(1).filter(|row| row.state == VmState::Live);
-        let peers = live.map(|row| SpreadPeer {
+        let peers = live.map(|row| QueryCandidate {
             node: row.control_address(),
-            order: order(&row.identity.name),
+            position: position(&row.identity.name),
             near: row.identity.data_centre == me.data_centre,
         });
-        earlier_peer(order(&me.name), peers, &mut self.rng.borrow_mut())
+        earlier_peer(position(&me.name), peers, &mut self.rng.borrow_mut())
     }
 }
 
 /// What nodes are ranked for when they query each other for a revision: another order for each.
-fn spread_subject(revision: u64) -> String {
+fn query_subject(revision: u64) -> String {
     format!("state/{revision}")
 }
 
 /// The position of a node when relays are passed on.
 fn relay_position(identity: &VmIdentity) -> u64 {
-    line_place(rank(RELAY_SUBJECT, &identity.data_centre), rank(RELAY_SUBJECT, &identity.name))
+    broadcast_position(rank(RELAY_SUBJECT, &identity.data_centre), rank(RELAY_SUBJECT, &identity.name))
 }
 
 /// A membership that knows only this node.
--- a/crates/pointvane-node/src/gossip.rs
+++ b/crates/pointvane-node/src/gossip_loop.rs
@@ -40,13 +40,13 @@
     /// Compares what this node has read with what its peers have.
     fn compare_with_peers(&self) {
         let (role, latest) = (self.fleet.reader_role(), self.fleet.latest_revision());
-        self.reading.state_mut().hear_peers(role, latest, self.now_us());
-        self.reading.interrupt_if_behind();
+        self.platform.state_mut().compare_with_peers(role, latest, self.now_us());
+        self.platform.interrupt_if_behind();
     }
 }
 
 /// Exchanges membership datagrams for as long as the process lives.
-pub async fn gossip<A: PlatformAdapter>(node: Rc<Node<A>>, socket: Rc<UdpSocket>) {
+pub async fn run<A: PlatformAdapter>(node: Rc<Node<A>>, socket: Rc<UdpSocket>) {
     tokio::join!(tick(&node), receive(&node, &socket));
 }
 
@@ -54,7 +54,7 @@
     let mut ticks = interval(TICK);
     loop {
         ticks.tick().await;
-        let actions = node.fleet.tick(node.reading.mark().revision, node.now_us());
+        let actions = node.fleet.tick(node.platform.mark().revision, node.now_us());
         node.perform(actions);
         node.compare_with_peers();
         node.forget_expired();
--- a/crates/pointvane-node/src/node.rs
+++ b/crates/pointvane-node/src/node.rs
@@ -1,12 +1,12 @@
 //! One node: its parts, and what they are made of at the start.
 //!
 //! Each part owns its state and is used by one thread: [`Dispatch`] what requests need, [`Fleet`] the other nodes,
-//! [`PlatformReading`] the platform, [`Lifecycle`] the planned stop.
+//! [`PlatformState`] the platform, [`Lifecycle`] the planned stop.
 
 use {
     crate::{
-        dispatch::Dispatch, fleet::Fleet, headers::Headers, lifecycle::Lifecycle, reading::PlatformReading,
-        report::Report, settings::NodeSettings,
+        dispatch::Dispatch, fleet::Fleet, headers::Headers, lifecycle::Lifecycle,
+        platform_state::PlatformState, report::Report, settings::NodeSettings,
     },
     pointvane_config::NodeOptions,
     pointvane_core::{Clock, Incarnation, PlatformAdapter},
@@ -29,7 +29,7 @@
     /// The other nodes.
     pub fleet: Fleet,
     /// What is read of the platform.
-    pub reading: PlatformReading,
+    pub platform: PlatformState,
     /// How far a planned stop has come.
     pub lifecycle: Lifecycle,
     settings: RefCell<NodeSettings>,
@@ -49,7 +49,7 @@
             report,
             dispatch: Dispatch::new(options, settings.data_centre.clone(), &mut seeder, now_us),
             fleet: Fleet::new(&settings, incarnation, &mut seeder, now_us),
-            reading: PlatformReading::new(&settings, seeder.random()),
+            platform: PlatformState::new(&settings, seeder.random()),
             lifecycle: Lifecycle::default(),
             settings: RefCell::new(settings),
             clock,
@@ -76,7 +76,7 @@
     pub fn is_ready(&self) -> bool {
         self.lifecycle.is_running()
             && self.dispatch.routes().version() > 0
-            && self.reading.mark().revision > 0
+            && self.platform.mark().revision > 0
     }
 
     /// Divides the fleet's budgets among the nodes that are seen now, or were seen before.
--- a/crates/pointvane-node/src/platform_reader.rs
+++ b/crates/pointvane-node/src/platform_reader.rs
@@ -1,182 +1,169 @@
-//! Reading of the platform, as `pointvane-dispatch` decides.
+//! Carries out the calls that [`pointvane_dispatch::PlatformReader`] asks for, and puts their answers in force.
 
 use {
-    crate::{
-        body::{RelayBody, gather},
-        node::Node,
-        socket, state_exchange,
-    },
+    crate::{node::Node, platform_client::PlatformClient, state_query},
     bytes::Bytes,
-    hyper::{
-        Request, StatusCode,
-        client::conn::http1::{self, SendRequest},
-        header::HOST,
-    },
-    hyper_util::rt::TokioIo,
-    pointvane_core::{Change, PlatformAdapter},
-    pointvane_dispatch::{CallFailure, FeedCall, StateRequest, Whom},
+    pointvane_core::{Change, ChangePage, MalformedReply, PlatformAdapter},
+    pointvane_dispatch::{CallFailure, QueryTarget, ReaderCall, StateReply, StateRequest},
     pointvane_telemetry::EventKind,
-    std::{mem, rc::Rc, time::Duration},
-    tokio::{task::spawn_local, time::timeout},
+    std::{mem, net::SocketAddr, rc::Rc, time::Duration},
+    tokio::time::timeout,
 };
 
-const CONNECT_PATIENCE: Duration = Duration::from_millis(700);
-/// Largest answer that is read, in bytes.
-const ANSWER_MAX_BYTES: usize = 8 << 20;
-
 /// Reads the platform for as long as the process lives.
 pub async fn read<A: PlatformAdapter>(node: Rc<Node<A>>) {
-    let mut store = Store { node: Rc::clone(&node), connection: None };
+    let mut client = PlatformClient::default();
     loop {
-        let call = node.reading.state_mut().next(node.now_us());
-        let lost_before = node.reading.state().is_lost();
+        let call = node.platform.state_mut().next(node.now_us());
         match call {
-            FeedCall::Rest { until_us } => {
-                let rest = Duration::from_micros(until_us.saturating_sub(node.now_us()));
-                // Ends early when the platform is known to hold more.
-                _ = timeout(rest, node.reading.interrupted()).await;
-                continue;
+            ReaderCall::Wait { until_us } => {
+                let wait = Duration::from_micros(until_us.saturating_sub(node.now_us()));
+                // Ends early when the platform is known to hold more; either way the reader says what is next.
+                _ = timeout(wait, node.platform.interrupted()).await;
             }
-            FeedCall::AskPeer { whom, request, patience_ms } => {
-                ask_peer(&node, whom, &request, Duration::from_millis(patience_ms)).await;
-                continue;
+            ReaderCall::QueryPeer { target, request, timeout_ms } => {
+                query_peer(&node, target, &request, Duration::from_millis(timeout_ms)).await;
             }
-            FeedCall::Snapshot { next_page, patience_ms } => {
-                store.snapshot(next_page.as_deref(), Duration::from_millis(patience_ms)).await;
+            ReaderCall::Snapshot { next_page, timeout_ms } => {
+                let call_timeout = Duration::from_millis(timeout_ms);
+                let before = node.platform.state().is_unreachable();
+                read_snapshot(&node, &mut client, next_page.as_deref(), call_timeout).await;
+                note_reachability(&node, before);
             }
-            FeedCall::Watch { after, wait_ms, patience_ms } => {
-                store.watch(after, wait_ms, Duration::from_millis(patience_ms)).await;
+            ReaderCall::Watch { after, wait_ms, timeout_ms } => {
+                let call_timeout = Duration::from_millis(timeout_ms);
+                let before = node.platform.state().is_unreachable();
+                watch(&node, &mut client, after, wait_ms, call_timeout).await;
+                note_reachability(&node, before);
             }
         }
-        match (lost_before, node.reading.state().is_lost()) {
-            (false, true) => node.report.note(EventKind::PlatformLost),
-            (true, false) => node.report.note(EventKind::PlatformBack),
-            _ => {}
-        }
     }
 }
 
-/// Asks another node for what it knows of the platform.
-async fn ask_peer<A: PlatformAdapter>(
+fn note_reachability<A: PlatformAdapter>(node: &Node<A>, unreachable_before: bool) {
+    match (unreachable_before, node.platform.state().is_unreachable()) {
+        (false, true) => node.report.note(EventKind::PlatformLost),
+        (true, false) => node.report.note(EventKind::PlatformBack),
+        _ => {}
+    }
+}
+
+/// Queries another node for what it knows of the platform.
+async fn query_peer<A: PlatformAdapter>(
     node: &Node<A>,
-    whom: Whom,
+    target: QueryTarget,
     request: &StateRequest,
-    patience: Duration,
+    query_timeout: Duration,
 ) {
-    let Some(peer) = node.fleet.peer_to_query(whom, &node.settings()) else {
-        return node.reading.state_mut().ask_failed(node.now_us());
+    let peer = node.fleet.peer_to_query(target, &node.settings());
+    let reply = match peer {
+        Some(peer) => query(node, peer, request, query_timeout).await,
+        None => None,
     };
-    node.report.asked_peer();
-    match state_exchange::ask(peer, request, patience).await {
-        Ok(Some(reply)) => {
-            let (mark, age_ms) = (reply.mark, reply.age_ms);
-            let changes = {
-                let pool = node.dispatch.pool();
-                node.reading.state_mut().hear_state(reply, pool.ids(), node.now_us())
-            };
-            if !changes.is_empty() {
-                node.report.note(EventKind::StateTold { peer, revision: mark.revision, age_ms });
-            }
-            node.apply(changes);
-        }
-        Ok(None) | Err(_) => node.reading.state_mut().ask_failed(node.now_us()),
+    let Some((peer, reply)) = peer.zip(reply) else {
+        return node.platform.state_mut().query_failed(node.now_us());
+    };
+    let (revision, age_ms) = (reply.mark.revision, reply.age_ms);
+    let changes = {
+        let pool = node.dispatch.pool();
+        node.platform.state_mut().receive_state(reply, pool.ids(), node.now_us())
+    };
+    if !changes.is_empty() {
+        node.report.note(EventKind::StateTold { peer, revision, age_ms });
     }
+    node.apply(changes);
 }
 
-struct Store<A> {
-    node: Rc<Node<A>>,
-    connection: Option<SendRequest<RelayBody>>,
+/// A peer's answer; none if it knows no more or cannot be reached, which is the same here: the reader asks elsewhere.
+async fn query<A: PlatformAdapter>(
+    node: &Node<A>,
+    peer: SocketAddr,
+    request: &StateRequest,
+    query_timeout: Duration,
+) -> Option<StateReply> {
+    node.report.queried_peer();
+    state_query::query(peer, request, query_timeout).await.ok().flatten()
 }
 
-impl<A: PlatformAdapter> Store<A> {
-    async fn snapshot(&mut self, next_page: Option<&str>, patience: Duration) {
-        let target = self.node.adapter.snapshot_target(next_page);
-        let node = Rc::clone(&self.node);
-        let page = self.call(&target, patience).await;
-        let page = page.and_then(|body| node.adapter.snapshot(&body).map_err(|_| CallFailure::Malformed));
-        match page {
-            Ok(mut page) => {
-                node.note_refused_items(mem::take(&mut page.refused));
-                let changes = {
-                    let pool = node.dispatch.pool();
-                    node.reading.state_mut().read(page, pool.ids(), node.now_us())
-                };
-                let mark = node.reading.state().mark();
-                let upstreams = changes.iter().filter(|change| matches!(change, Change::Upstream(_))).count();
-                if mark.revision > 0 {
-                    node.report.note(EventKind::PlatformRead {
-                        revision: mark.revision,
-                        version: mark.version,
-                        upstreams: upstreams as u64,
-                    });
-                }
-                node.apply(changes);
-            }
-            Err(failure) => self.failed(failure),
-        }
+/// Reads one page of everything.
+async fn read_snapshot<A: PlatformAdapter>(
+    node: &Node<A>,
+    client: &mut PlatformClient,
+    next_page: Option<&str>,
+    call_timeout: Duration,
+) {
+    let target = node.adapter.snapshot_target(next_page);
+    let answer = call(node, client, &target, call_timeout).await;
+    let Some(page) = decoded(node, client, answer, A::snapshot) else { return };
+    let changes = {
+        let pool = node.dispatch.pool();
+        node.platform.state_mut().page_read(page, pool.ids(), node.now_us())
+    };
+    let mark = node.platform.mark();
+    if mark.revision > 0 {
+        let upstreams = changes.iter().filter(|change| matches!(change, Change::Upstream(_))).count() as u64;
+        node.report.note(EventKind::PlatformRead {
+            revision: mark.revision,
+            version: mark.version,
+            upstreams,
+        });
     }
+    node.apply(changes);
+}
 
-    async fn watch(&mut self, after: u64, wait_ms: u64, patience: Duration) {
-        let target = self.node.adapter.watch_target(after, wait_ms);
-        let node = Rc::clone(&self.node);
-        let called = tokio::select! {
-            called = self.call(&target, patience) => called,
-            () = node.reading.interrupted() => {
-                node.report.note(EventKind::WatchRenewed { revision: after });
-                self.connection = None;
-                return;
-            }
-        };
-        let page = called.and_then(|body| node.adapter.changes(&body).map_err(|_| CallFailure::Malformed));
-        match page {
-            Ok(mut page) => {
-                node.note_refused_items(mem::take(&mut page.refused));
-                let changes = node.reading.state_mut().watched(page, node.now_us());
-                node.apply(changes);
-                if node.reading.state().speaks() {
-                    node.send_relay();
-                }
-            }
-            Err(failure) => self.failed(failure),
-        }
+/// Waits for changes; ends early when the platform is known to hold more, since the watch then hangs.
+async fn watch<A: PlatformAdapter>(
+    node: &Node<A>,
+    client: &mut PlatformClient,
+    after: u64,
+    wait_ms: u64,
+    call_timeout: Duration,
+) {
+    let target = node.adapter.watch_target(after, wait_ms);
+    let answer = tokio::select! {
+        answer = call(node, client, &target, call_timeout) => Some(answer),
+        () = node.platform.interrupted() => None,
+    };
+    let Some(answer) = answer else {
+        node.report.note(EventKind::WatchRenewed { revision: after });
+        return client.close();
+    };
+    let Some(page) = decoded(node, client, answer, A::changes) else { return };
+    let changes = node.platform.state_mut().watch_answered(page, node.now_us());
+    node.apply(changes);
+    if node.platform.state().broadcasts() {
+        node.send_relay();
     }
+}
 
-    fn failed(&mut self, failure: CallFailure) {
-        // A connection on which an answer is lost says nothing more.
-        self.connection = None;
-        self.node.reading.state_mut().failed(failure, self.node.now_us());
-    }
+async fn call<A: PlatformAdapter>(
+    node: &Node<A>,
+    client: &mut PlatformClient,
+    target: &str,
+    call_timeout: Duration,
+) -> Result<Bytes, CallFailure> {
+    let address = node.settings().platform;
+    node.report.called_platform();
+    client.call(address, target, call_timeout).await
+}
 
-    async fn call(&mut self, target: &str, patience: Duration) -> Result<Bytes, CallFailure> {
-        let address = self.node.settings().platform;
-        self.node.report.called_platform();
-        let mut sender = match self.connection.take() {
-            Some(sender) if sender.is_ready() => sender,
-            _ => {
-                let stream =
-                    socket::connect(address, CONNECT_PATIENCE).await.map_err(|_| CallFailure::Unavailable)?;
-                let opened = http1::handshake(TokioIo::new(stream)).await;
-                let (sender, driver) = opened.map_err(|_| CallFailure::Unavailable)?;
-                spawn_local(driver);
-                sender
-            }
-        };
-        let request = Request::get(target).header(HOST, address.to_string());
-        let request = request.body(RelayBody::whole(Bytes::new())).map_err(|_| CallFailure::Malformed)?;
-        let exchange = async {
-            let (head, body) = sender.send_request(request).await?.into_parts();
-            Ok::<_, hyper::Error>((head.status, gather(body, ANSWER_MAX_BYTES).await?))
-        };
-        let answer = timeout(patience, exchange).await.map_err(|_| CallFailure::Unavailable)?;
-        let (status, gathered) = answer.map_err(|_| CallFailure::Unavailable)?;
-        if gathered.rest.is_some() {
-            return Err(CallFailure::Malformed);
+/// The page in an answer; none if there is no usable answer, of which the reader takes note.
+fn decoded<A: PlatformAdapter>(
+    node: &Node<A>,
+    client: &mut PlatformClient,
+    answer: Result<Bytes, CallFailure>,
+    decode: impl Fn(&A, &[u8]) -> Result<ChangePage, MalformedReply>,
+) -> Option<ChangePage> {
+    let page = answer.and_then(|body| decode(&node.adapter, &body).map_err(|_| CallFailure::Malformed));
+    match page {
+        Ok(mut page) => {
+            node.note_refused_items(mem::take(&mut page.refused));
+            Some(page)
         }
-        self.connection = Some(sender);
-        match status {
-            StatusCode::OK => Ok(gathered.bytes),
-            StatusCode::GONE => Err(CallFailure::HistoryGone),
-            _ => Err(CallFailure::Unavailable),
+        Err(failure) => {
+            client.close();
+            node.platform.state_mut().call_failed(failure, node.now_us());
+            None
         }
     }
 }
--- a/crates/pointvane-node/src/reading.rs
+++ b/crates/pointvane-node/src/platform_state.rs
@@ -4,7 +4,7 @@
 
 use {
     crate::settings::NodeSettings,
-    pointvane_dispatch::{Feed, FeedOptions, ReadMark},
+    pointvane_dispatch::{PlatformReader, ReadMark, ReaderOptions},
     std::cell::{Ref, RefCell, RefMut},
     tokio::sync::Notify,
 };
@@ -16,35 +16,38 @@
 
 /// What a node has read of the platform.
 #[derive(Debug)]
-pub struct PlatformReading {
-    feed: RefCell<Feed>,
+pub struct PlatformState {
+    reader: RefCell<PlatformReader>,
     interrupted: Notify,
 }
 
-impl PlatformReading {
+impl PlatformState {
     /// Nothing was read yet.
     pub fn new(settings: &NodeSettings, seed: u64) -> Self {
-        Self { feed: RefCell::new(Feed::new(feed_options(settings), seed)), interrupted: Notify::new() }
+        Self {
+            reader: RefCell::new(PlatformReader::new(reader_options(settings), seed)),
+            interrupted: Notify::new(),
+        }
     }
 
     /// The reader's state.
-    pub fn state(&self) -> Ref<'_, Feed> {
-        self.feed.borrow()
+    pub fn state(&self) -> Ref<'_, PlatformReader> {
+        self.reader.borrow()
     }
 
     /// The reader's state, to be changed.
-    pub fn state_mut(&self) -> RefMut<'_, Feed> {
-        self.feed.borrow_mut()
+    pub fn state_mut(&self) -> RefMut<'_, PlatformReader> {
+        self.reader.borrow_mut()
     }
 
     /// How far the platform is read; zeros before the first read.
     pub fn mark(&self) -> ReadMark {
-        self.feed.borrow().mark()
+        self.reader.borrow().mark()
     }
 
     /// Ends a rest or a watch if the platform is known to hold more than was read.
     pub fn interrupt_if_behind(&self) {
-        if self.feed.borrow().is_behind() {
+        if self.reader.borrow().is_behind() {
             self.interrupted.notify_waiters();
         }
     }
@@ -56,13 +59,15 @@
 }
 
 /// At the first start of all, only the seeds read the platform at once; the others wait for what these have read.
-fn feed_options(settings: &NodeSettings) -> FeedOptions {
-    let defaults = FeedOptions::default();
+fn reader_options(settings: &NodeSettings) -> ReaderOptions {
+    let defaults = ReaderOptions::default();
     match (settings.first_start, settings.seeds.contains(&settings.gossip)) {
-        (true, true) => FeedOptions { start_asks: 0, ..defaults },
-        (true, false) => {
-            FeedOptions { start_asks: FIRST_START_QUERIES, start_rest_ms: FIRST_START_PAUSE_MS, ..defaults }
-        }
+        (true, true) => ReaderOptions { start_queries: 0, ..defaults },
+        (true, false) => ReaderOptions {
+            start_queries: FIRST_START_QUERIES,
+            start_pause_ms: FIRST_START_PAUSE_MS,
+            ..defaults
+        },
         (false, _) => defaults,
     }
 }
--- a/crates/pointvane-node/src/publication.rs
+++ b/crates/pointvane-node/src/publication.rs
@@ -44,7 +44,7 @@
     }
 
     fn apply_removal(&self, id: Name) {
-        let grace_until_us = self.reading.state().reentry_until_us();
+        let grace_until_us = self.platform.state().grace_until_us();
         if self.dispatch.pool_mut().entry_removed(&id, grace_until_us, self.now_us()) {
             self.report.note_bounded(self.now_us(), EventKind::UpstreamGone { upstream: id });
         }
@@ -60,7 +60,7 @@
 
     /// A node never goes back to an older configuration within its life.
     fn apply_configuration(&self, configuration: RoutingConfiguration) {
-        let (revision, index) = (configuration.version, self.reading.mark().revision);
+        let (revision, index) = (configuration.version, self.platform.mark().revision);
         if self.dispatch.accept_configuration(configuration) {
             self.report.note(EventKind::ConfigurationAccepted { revision, index });
         }
--- a/crates/pointvane-node/src/relay.rs
+++ b/crates/pointvane-node/src/relay_loop.rs
@@ -3,7 +3,7 @@
 use {
     crate::node::Node,
     pointvane_core::PlatformAdapter,
-    pointvane_dispatch::{Delegate, Relay, RelayDatagram, Segment, WireRelay},
+    pointvane_dispatch::{Forwarder, Relay, RelayDatagram, Segment, WireRelay},
     pointvane_mesh::codec,
     std::{rc::Rc, time::Duration},
     tokio::{net::UdpSocket, time::interval},
@@ -11,11 +11,11 @@
 
 /// Time between two relays of a watcher, besides those right after an answer of the platform.
 ///
-/// Not measured at other values: a lease ([`pointvane_dispatch::FeedOptions`]) outlives four lost ones in a row.
+/// Not measured at other values: a lease ([`pointvane_dispatch::ReaderOptions`]) outlives four lost ones in a row.
 const RELAY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Sends and receives relays for as long as the process lives.
-pub async fn relay<A: PlatformAdapter>(node: Rc<Node<A>>, socket: Rc<UdpSocket>) {
+pub async fn run<A: PlatformAdapter>(node: Rc<Node<A>>, socket: Rc<UdpSocket>) {
     tokio::join!(send(&node), receive(&node, &socket));
 }
 
@@ -23,7 +23,7 @@
     let mut ticks = interval(RELAY_INTERVAL);
     loop {
         ticks.tick().await;
-        if node.reading.state().is_sentinel() {
+        if node.platform.state().is_watcher() {
             node.send_relay();
         }
     }
@@ -45,7 +45,7 @@
 impl<A: PlatformAdapter> Node<A> {
     /// Sends what this node knows of the platform to all others, if that is current.
     pub fn send_relay(&self) {
-        let relay = self.reading.state().relay(self.now_us());
+        let relay = self.platform.state().relay(self.now_us());
         let Some(relay) = relay else { return };
         let (origin, round) = (self.settings().gossip, self.fleet.next_relay_round());
         let whole =
@@ -63,7 +63,7 @@
         if datagram.segment == Segment::NONE {
             return;
         }
-        for Delegate { node, segment } in self.fleet.relay_delegates(datagram) {
+        for Forwarder { node, segment } in self.fleet.relay_forwarders(datagram) {
             // A relay that fits with the longest segment fits with any.
             if let Ok(bytes) = codec::encode(&RelayDatagram { segment, ..datagram.clone() }) {
                 self.fleet.send_relay(&bytes, node);
@@ -72,11 +72,11 @@
     }
 
     fn apply_relay(&self, relay: Relay) {
-        let order = self.fleet.spread_order(relay.mark.revision);
-        let changes = self.reading.state_mut().hear_relay(relay, order, self.now_us());
+        let order = self.fleet.query_position(relay.mark.revision);
+        let changes = self.platform.state_mut().receive_relay(relay, order, self.now_us());
         if !changes.is_empty() {
             self.apply(changes);
         }
-        self.reading.interrupt_if_behind();
+        self.platform.interrupt_if_behind();
     }
 }
--- a/crates/pointvane-node/src/report.rs
+++ b/crates/pointvane-node/src/report.rs
@@ -168,7 +168,7 @@
     }
 
     /// Counts a question to another node.
-    pub fn asked_peer(&self) {
+    pub fn queried_peer(&self) {
         self.peer_questions.add(1, &[]);
     }
 
--- a/crates/pointvane-node/src/run.rs
+++ b/crates/pointvane-node/src/run.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        directory, gossip, node::Node, operator, platform_reader, relay, report::Report, serve::listen,
-        settings::NodeSettings, state_exchange, stop, traffic,
+        directory, gossip_loop, node::Node, operator, platform_reader, relay_loop, report::Report,
+        serve::listen, settings::NodeSettings, state_query, stop, traffic,
     },
     eyre::{Result, WrapErr},
     pointvane_config::NodeOptions,
@@ -58,10 +58,10 @@
     if let Some(address) = settings.operator {
         listen(Rc::clone(&node), address, operator::operator).await?;
     }
-    spawn_local(gossip::gossip(Rc::clone(&node), socket));
+    spawn_local(gossip_loop::run(Rc::clone(&node), socket));
     let questions = TcpListener::bind(settings.gossip).await.wrap_err("questions of nodes")?;
-    spawn_local(state_exchange::serve(Rc::clone(&node), questions));
-    spawn_local(relay::relay(Rc::clone(&node), relays));
+    spawn_local(state_query::serve(Rc::clone(&node), questions));
+    spawn_local(relay_loop::run(Rc::clone(&node), relays));
     spawn_local(platform_reader::read(Rc::clone(&node)));
     node.report.note(EventKind::Started);
     let mut expire = interval(EXPIRE_INTERVAL);
--- a/crates/pointvane-node/src/state_exchange.rs
+++ b/crates/pointvane-node/src/state_query.rs
@@ -1,9 +1,9 @@
-//! Questions of nodes to each other for what they know of the platform, over TCP: one frame each way.
+//! Queries of nodes to each other for what they know of the platform, over TCP: one frame each way.
 
 use {
     crate::{node::Node, socket},
     pointvane_core::{PlatformAdapter, RoutingConfiguration, UpstreamRecord},
-    pointvane_dispatch::{HeldState, StateReply, StateRequest},
+    pointvane_dispatch::{KnownState, StateReply, StateRequest},
     pointvane_mesh::codec,
     serde::{Serialize, de::DeserializeOwned},
     std::{io, net::SocketAddr, rc::Rc, time::Duration},
@@ -15,10 +15,10 @@
     },
 };
 
-/// Longest time that an asker may take.
-const ASKER_PATIENCE: Duration = Duration::from_secs(1);
+/// Longest time that an exchange may take. Not measured: several times as long as the other node waits.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 
-impl<A: PlatformAdapter> HeldState for Node<A> {
+impl<A: PlatformAdapter> KnownState for Node<A> {
     fn upstreams(&self) -> Vec<UpstreamRecord> {
         self.dispatch.pool().records().cloned().collect()
     }
@@ -31,10 +31,11 @@
 /// Answers other nodes for as long as the process lives.
 pub async fn serve<A: PlatformAdapter + 'static>(node: Rc<Node<A>>, listener: TcpListener) {
     loop {
+        // A connection that breaks before it is accepted is its opener's to notice.
         if let Ok((stream, _)) = listener.accept().await {
             let node = Rc::clone(&node);
-            // The asker goes elsewhere when it gets no answer.
-            spawn_local(async move { timeout(ASKER_PATIENCE, answer(&node, stream)).await });
+            // The other node goes elsewhere when it gets no answer.
+            spawn_local(async move { timeout(EXCHANGE_TIMEOUT, answer(&node, stream)).await });
         }
     }
 }
@@ -42,30 +43,30 @@
 async fn answer<A: PlatformAdapter>(node: &Node<A>, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let request: StateRequest = read_frame(&mut stream).await?;
-    let reply = node.reading.state().answer(&request, node, node.now_us());
+    let reply = node.platform.state().answer(&request, node, node.now_us());
     write_frame(&mut stream, &reply).await?;
-    // Closing with the asker's end unread would cut the answer off.
+    // Closing the socket with its end unread would reset it and cut the answer off.
     stream.shutdown().await
 }
 
-/// Asks another node; none if it knows no more.
+/// Queries another node; none if it knows no more.
 ///
 /// # Errors
 /// Those of the connection, and a time-out.
-pub async fn ask(
+pub async fn query(
     peer: SocketAddr,
     request: &StateRequest,
-    patience: Duration,
+    exchange_timeout: Duration,
 ) -> io::Result<Option<StateReply>> {
-    timeout(patience, exchange(peer, request, patience)).await?
+    timeout(exchange_timeout, exchange(peer, request, exchange_timeout)).await?
 }
 
 async fn exchange(
     peer: SocketAddr,
     request: &StateRequest,
-    patience: Duration,
+    exchange_timeout: Duration,
 ) -> io::Result<Option<StateReply>> {
-    let mut stream = socket::connect(peer, patience).await?;
+    let mut stream = socket::connect(peer, exchange_timeout).await?;
     write_frame(&mut stream, request).await?;
     read_frame(&mut stream).await
 }
