--- a/crates/pointvane-core/src/lib.rs
+++ b/crates/pointvane-core/src/lib.rs
@@ -1,28 +1,31 @@
 //! Types, units, the closed list of error kinds and the small traits at pointvane's interfaces.
 //!
+//! Of both forms: `error`, `identity`, `token_bucket`. Of the three programs: `key`, `request`, `traits`. Of the node: `adapter`,
+//! `published`, `routing`.
+//!
 //! Nothing here does I/O, starts a thread or reads a clock. Times are microseconds of a monotonic clock
 //! (`*_us`) unless a name says otherwise.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod deployment;
+mod adapter;
 mod error;
 mod identity;
 mod key;
+mod published;
 mod request;
+mod routing;
 mod token_bucket;
 mod traits;
 
 pub use {
-    deployment::{
-        CallerLimits, Change, ChangePage, DirectoryQuestion, HeaderNames, MalformedReply, PlatformAdapter,
-        RefusedItem, RouteKind, RouteRule, RoutingConfiguration, ServiceRule, UpstreamLoad, UpstreamRecord,
-        WeightedService,
-    },
+    adapter::{DirectoryQuestion, HeaderNames, PlatformAdapter},
     error::{AnswerRow, ErrorKind, Outcome},
     identity::{Incarnation, Name, VmIdentity, VmState},
     key::{IdempotencyKey, KeyError},
+    published::{Change, ChangePage, MalformedReply, RefusedItem, UpstreamLoad, UpstreamRecord},
     request::{Class, header},
+    routing::{CallerLimits, RouteKind, RouteRule, RoutingConfiguration, ServiceRule, WeightedService},
     token_bucket::TokenBucket,
     traits::{Clock, LoadReport, Observation, Platform, PlatformError, PlatformReading},
 };
--- a/crates/pointvane-node/src/body.rs
+++ b/crates/pointvane-node/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers: gathered when they are small, streamed beyond that.
+//! Bodies of requests and answers: gathered up to a size, streamed beyond it.
 
 use {
     crate::connections::Connection,
@@ -11,25 +11,25 @@
     },
 };
 
-/// A body whose first part is there, and whose rest, if any, still comes.
+/// A body of which the first part has come; the rest, if any, is streamed.
 #[derive(Debug)]
 pub struct RelayBody {
     first: Option<Bytes>,
     rest: Option<Incoming>,
     /// Length of the whole, if it is known.
     length: Option<u64>,
-    /// Kept until the rest has come, then dropped.
+    /// The connection that the rest comes on; closed after it.
     _connection: Option<Connection>,
 }
 
 impl RelayBody {
-    /// A body that is whole.
+    /// A body that has come whole.
     pub fn whole(bytes: Bytes) -> Self {
         let length = Some(bytes.len() as u64);
         Self { first: Some(bytes).filter(|bytes| !bytes.is_empty()), rest: None, length, _connection: None }
     }
 
-    /// A body of which only the first part is there.
+    /// A body of which only the first part has come.
     pub fn streamed(gathered: Gathered, connection: Option<Connection>) -> Self {
         Self {
             first: Some(gathered.bytes).filter(|bytes| !bytes.is_empty()),
@@ -77,7 +77,7 @@
     pub bytes: Bytes,
     /// The rest, if the body is longer than what is gathered.
     pub rest: Option<Incoming>,
-    /// Length of the whole, if the sender told it.
+    /// Length of the whole, if the sender announced it.
     pub length: Option<u64>,
 }
 
--- a/crates/pointvane-node/src/connections.rs
+++ b/crates/pointvane-node/src/connections.rs
@@ -1,4 +1,6 @@
 //! Kept connections to upstreams, one request at a time on each.
+//!
+//! Owns the idle ones. A connection is kept only after a whole answer, and used again only while its upstream keeps it too.
 
 use {
     crate::{body::RelayBody, socket},
@@ -18,20 +20,22 @@
     tokio::task::spawn_local,
 };
 
-/// Idle connections kept to one upstream.
+/// Idle connections kept to one upstream. Not measured: each costs memory here and a slot of the upstream's limit.
 const IDLE_MAX: usize = 2;
-/// Longest rest of a kept connection; upstreams close theirs later.
-const REST_MAX: Duration = Duration::from_secs(7);
-const CONNECT_PATIENCE: Duration = Duration::from_millis(300);
-const READ_BUFFER_BYTES: usize = 8_192;
+/// Longest idle time of a kept connection. Not measured: the users' upstreams close theirs later.
+const IDLE_TIME_MAX: Duration = Duration::from_secs(7);
+/// Longest time for a new connection. Not measured: several times the way between data centres.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Largest read buffer of a connection, in bytes. Not measured: the least that holds the head of an answer.
+const READ_BUFFER_BYTES: usize = 32_768;
 
-/// Time after a request's answer within which late bytes behind it may still come.
-const LATE_BYTES_WITHIN: Duration = Duration::from_millis(300);
+/// Time after an answer within which surplus bytes of it may still come. Not measured.
+const SURPLUS_BYTES_WITHIN: Duration = Duration::from_millis(300);
 
 /// What a connection is wanted for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// A question about an upstream's load.
+    /// A probe.
     Probe,
     /// A caller's request.
     Request,
@@ -41,27 +45,27 @@
 struct Idle {
     sender: SendRequest<RelayBody>,
     since: Instant,
-    rest_max: Duration,
+    idle_time_max: Duration,
     request_ended: Option<Instant>,
 }
 
 impl Idle {
-    fn stands(&self) -> bool {
-        self.since.elapsed() < self.rest_max && self.sender.is_ready()
+    fn is_usable(&self) -> bool {
+        self.since.elapsed() < self.idle_time_max && self.sender.is_ready()
     }
 
-    /// Whether late bytes of an earlier answer would have shown by now.
+    /// Whether surplus bytes of the last answer would have shown by now.
     fn is_quiet(&self) -> bool {
-        self.request_ended.is_none_or(|ended| ended.elapsed() >= LATE_BYTES_WITHIN)
+        self.request_ended.is_none_or(|ended| ended.elapsed() >= SURPLUS_BYTES_WITHIN)
     }
 }
 
-type Places = RefCell<HashMap<SocketAddr, VecDeque<Idle>>>;
+type IdleByAddress = RefCell<HashMap<SocketAddr, VecDeque<Idle>>>;
 
 /// Kept connections by address.
 #[derive(Clone, Debug, Default)]
 pub struct Connections {
-    places: Rc<Places>,
+    idle: Rc<IdleByAddress>,
 }
 
 /// A connection for one request; closed when dropped without [`Self::keep`].
@@ -69,7 +73,7 @@
 pub struct Connection {
     address: SocketAddr,
     sender: SendRequest<RelayBody>,
-    places: Rc<Places>,
+    idle: Rc<IdleByAddress>,
     purpose: Purpose,
     reused: bool,
     request_ended: Option<Instant>,
@@ -85,21 +89,23 @@
 }
 
 /// No connection could be made.
+///
+/// The reason is dropped: the attempt is counted as unsent and tried elsewhere whatever it was.
 #[derive(Clone, Copy, Debug)]
 pub struct Unreachable;
 
 impl Connections {
     /// A kept connection, or a new one.
     ///
-    /// Probes take the one that has rested longest. Requests take the one that was used last, since an upstream
-    /// may forget connections that rest, but leave late bytes of an earlier answer time to show.
+    /// Probes take the one that was idle longest. Requests take the one that was used last, since an upstream may have
+    /// closed idle ones, but leave surplus bytes of its last answer time to show.
     ///
     /// # Errors
     /// [`Unreachable`] when none can be made.
     pub async fn get(&self, address: SocketAddr, purpose: Purpose) -> Result<Connection, Unreachable> {
         if let Some(Idle { sender, request_ended, .. }) = self.pop(address, purpose) {
-            let places = Rc::clone(&self.places);
-            return Ok(Connection { address, sender, places, purpose, reused: true, request_ended });
+            let idle = Rc::clone(&self.idle);
+            return Ok(Connection { address, sender, idle, purpose, reused: true, request_ended });
         }
         self.open(address, purpose).await
     }
@@ -109,35 +115,35 @@
     /// # Errors
     /// [`Unreachable`] when none can be made.
     pub async fn open(&self, address: SocketAddr, purpose: Purpose) -> Result<Connection, Unreachable> {
-        let stream = socket::connect(address, CONNECT_PATIENCE).await.map_err(|_| Unreachable)?;
+        let stream = socket::connect(address, CONNECT_TIMEOUT).await.map_err(|_| Unreachable)?;
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(READ_BUFFER_BYTES * 4);
+        builder.max_buf_size(READ_BUFFER_BYTES);
         let (sender, driver) = builder.handshake(TokioIo::new(stream)).await.map_err(|_| Unreachable)?;
         spawn_local(driver);
-        let places = Rc::clone(&self.places);
-        Ok(Connection { address, sender, places, purpose, reused: false, request_ended: None })
+        let idle = Rc::clone(&self.idle);
+        Ok(Connection { address, sender, idle, purpose, reused: false, request_ended: None })
     }
 
     fn pop(&self, address: SocketAddr, purpose: Purpose) -> Option<Idle> {
-        let mut places = self.places.borrow_mut();
-        let place = places.get_mut(&address)?;
-        place.retain(Idle::stands);
+        let mut idle = self.idle.borrow_mut();
+        let queue = idle.get_mut(&address)?;
+        queue.retain(Idle::is_usable);
         match purpose {
-            Purpose::Probe => place.pop_front(),
-            Purpose::Request => match place.iter().rposition(Idle::is_quiet) {
-                Some(index) => place.remove(index),
-                None => place.pop_front(),
+            Purpose::Probe => queue.pop_front(),
+            Purpose::Request => match queue.iter().rposition(Idle::is_quiet) {
+                Some(index) => queue.remove(index),
+                None => queue.pop_front(),
             },
         }
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes connections that have been idle too long.
     pub fn expire(&self) {
-        let mut places = self.places.borrow_mut();
-        for place in places.values_mut() {
-            place.retain(|idle| idle.since.elapsed() < idle.rest_max && !idle.sender.is_closed());
+        let mut by_address = self.idle.borrow_mut();
+        for queue in by_address.values_mut() {
+            queue.retain(|idle| idle.since.elapsed() < idle.idle_time_max && !idle.sender.is_closed());
         }
-        places.retain(|_, place| !place.is_empty());
+        by_address.retain(|_, queue| !queue.is_empty());
     }
 }
 
@@ -164,22 +170,28 @@
             Purpose::Probe => self.request_ended,
             Purpose::Request => Some(Instant::now()),
         };
-        let mut places = self.places.borrow_mut();
-        let place = places.entry(self.address).or_default();
-        if place.len() < IDLE_MAX && !self.sender.is_closed() {
-            let rest_max = rest_max(answer);
-            place.push_back(Idle { sender: self.sender, since: Instant::now(), rest_max, request_ended });
+        let mut idle = self.idle.borrow_mut();
+        let queue = idle.entry(self.address).or_default();
+        if queue.len() < IDLE_MAX && !self.sender.is_closed() {
+            let idle_time_max = idle_time_max(answer);
+            queue.push_back(Idle {
+                sender: self.sender,
+                since: Instant::now(),
+                idle_time_max,
+                request_ended,
+            });
         }
     }
 }
 
-/// How long a connection may rest: a second less than its upstream keeps it, if that is told.
-fn rest_max(answer: &HeaderMap) -> Duration {
-    let told = answer.get("keep-alive").and_then(|told| told.to_str().ok());
-    let seconds = told.and_then(|told| {
-        let times = told.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
+/// How long a connection may be idle: a second less than its upstream keeps it, if the answer says how long.
+fn idle_time_max(answer: &HeaderMap) -> Duration {
+    // A header that cannot be read counts as none: the longest idle time is short anyway.
+    let header = answer.get("keep-alive").and_then(|value| value.to_str().ok());
+    let seconds = header.and_then(|text| {
+        let times = text.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
         times.filter_map(|seconds| seconds.parse().ok()).next()
     });
-    let kept = seconds.map_or(REST_MAX, |seconds: u64| Duration::from_secs(seconds.saturating_sub(1)));
-    kept.min(REST_MAX)
+    let kept = seconds.map_or(IDLE_TIME_MAX, |seconds: u64| Duration::from_secs(seconds.saturating_sub(1)));
+    kept.min(IDLE_TIME_MAX)
 }
--- a/crates/pointvane-node/src/directory.rs
+++ b/crates/pointvane-node/src/directory.rs
@@ -1,4 +1,4 @@
-//! Readiness, and the directory that tells callers which nodes to use.
+//! The answers to readiness checks and to callers that look up which nodes to use.
 
 use {
     crate::{answer::short, body::RelayBody, node::Node},
@@ -8,10 +8,12 @@
     std::{convert::Infallible, rc::Rc},
 };
 
+/// Content type of short answers.
 const TEXT: &str = "text/plain";
+/// Content type of the directory's answers.
 const JSON: &str = "application/json";
 
-/// Says whether callers may be sent here.
+/// Answers whether callers may be sent here.
 pub async fn readiness<A: PlatformAdapter>(
     node: Rc<Node<A>>,
     _request: Request<Incoming>,
@@ -20,7 +22,7 @@
     Ok(short(status, TEXT, String::new()))
 }
 
-/// Tells a caller which nodes to use.
+/// Answers which nodes a caller should use.
 pub async fn directory<A: PlatformAdapter>(
     node: Rc<Node<A>>,
     request: Request<Incoming>,
--- a/crates/pointvane-node/src/operator.rs
+++ b/crates/pointvane-node/src/operator.rs
@@ -8,10 +8,12 @@
     std::{convert::Infallible, rc::Rc},
 };
 
+/// Content type of metrics and short answers.
 const TEXT: &str = "text/plain";
+/// Content type of events and status.
 const JSON: &str = "application/json";
 
-/// What a node says of itself.
+/// The answer to `/status`.
 #[derive(Debug, Serialize)]
 struct Status {
     vm: String,
@@ -43,6 +45,7 @@
     })
 }
 
+/// The event to go on after; 0, the beginning, if the query names none or no number.
 fn after(query: Option<&str>) -> u64 {
     let value = query.unwrap_or_default().split('&').find_map(|pair| pair.strip_prefix("after="));
     value.and_then(|value| value.parse().ok()).unwrap_or_default()
--- a/crates/pointvane-node/src/report.rs
+++ b/crates/pointvane-node/src/report.rs
@@ -1,4 +1,7 @@
-//! What a node tells of itself: log lines, time line, counters and histograms.
+//! Log lines, time line, counters and histograms of a node.
+//!
+//! Lines are bounded: state changes of upstreams and other nodes, and failed requests, by a rate; successful requests by
+//! sampling. What is suppressed is counted in a line of its own.
 
 use {
     crate::request::CallerRequest,
@@ -16,15 +19,18 @@
     std::{cell::RefCell, collections::HashSet, sync::Arc, time::Duration},
 };
 
-/// Bounds of the time histograms, in seconds.
+/// Bounds of the time histograms, in seconds: two or three a decade, from a local answer to a caller's longest wait.
 const TIME_BOUNDS_S: [f64; 12] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
-/// Upstreams and routes that get labels of their own; the others share one.
+/// Upstreams and routes that get labels of their own; the others share one. Bounds memory; not measured.
 const LABELS_MAX: usize = 512;
+/// The label that all others share.
 const OTHER: &str = "other";
-/// Longest wait for the last lines to be read.
-const FLUSH_PATIENCE: Duration = Duration::from_millis(150);
-/// Events that the time line holds.
+/// Longest wait for the last lines to be read. Not measured: a planned stop must not wait for a reader that is stuck.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(150);
+/// Events that the time line holds. Bounds memory; fewer were cheaper on the users' days (docs/MEASUREMENTS.md, "The
+/// round on NEWS-24", smaller time line).
 const EVENTS_KEPT: usize = 1_024;
+/// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
 /// Log lines, time line and metrics of one node.
@@ -85,19 +91,19 @@
         })
     }
 
-    /// Writes the last lines before the process ends; waits no longer than a reader that stands still deserves.
+    /// Writes the last lines before the process ends, within [`FLUSH_TIMEOUT`].
     pub fn flush(&self) {
         if let Some(flush) = self.flush.take() {
-            flush.flush(FLUSH_PATIENCE);
+            flush.flush(FLUSH_TIMEOUT);
         }
     }
 
-    /// Notes a change of what this node believes or does.
+    /// Notes a change of this node's own state.
     pub fn note(&self, kind: EventKind) {
         self.events.note(kind);
     }
 
-    /// Notes a belief about an upstream or another node; its line is left out if there are too many.
+    /// Notes a change of state of an upstream or another node; its line is suppressed if there are too many.
     pub fn note_bounded(&self, now_us: u64, kind: EventKind) {
         let passage = self.gate.borrow_mut().belief(now_us);
         self.note_suppressed(passage);
@@ -114,14 +120,14 @@
         }
     }
 
-    /// Writes one of some lines on a decision that went well.
+    /// Writes a line on a success, for a sample of them.
     pub fn success(&self, line: impl FnOnce() -> EventKind) {
         if self.gate.borrow_mut().well() {
             self.events.note(line());
         }
     }
 
-    /// Writes a line on a decision that went wrong, unless there are too many.
+    /// Writes a line on a failure, unless there are too many.
     pub fn failure(&self, now_us: u64, line: impl FnOnce() -> EventKind) {
         let passage = self.gate.borrow_mut().wrong(now_us);
         self.note_suppressed(passage);
@@ -138,7 +144,7 @@
         self.request_s.record(spent_ms as f64 / MS_PER_S, &[route]);
     }
 
-    /// Counts a request that was answered in an upstream's place.
+    /// Counts a request that the node itself answered.
     pub fn refused(&self, kind: ErrorKind) {
         let row = kind.answer();
         self.refusals
@@ -152,12 +158,12 @@
         self.upstream_s.record(took_ms as f64 / MS_PER_S, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a repeated attempt; `hedge` tells one beside another that still runs.
+    /// Counts a retry, or a hedge.
     pub fn repeated(&self, hedge: bool) {
         self.repeats.add(1, &[KeyValue::new("hedge", hedge)]);
     }
 
-    /// Counts a question to an upstream.
+    /// Counts a probe.
     pub fn probed(&self) {
         self.probes.add(1, &[]);
     }
@@ -167,12 +173,12 @@
         self.platform_calls.add(1, &[]);
     }
 
-    /// Counts a question to another node.
+    /// Counts a query to another node.
     pub fn queried_peer(&self) {
         self.peer_questions.add(1, &[]);
     }
 
-    /// A label whose values are bounded.
+    /// A label with a bounded number of values.
     fn label(&self, key: &'static str, value: &Name) -> KeyValue {
         let mut labels = self.labels.borrow_mut();
         if labels.contains(value) || labels.len() < LABELS_MAX {
--- a/crates/pointvane-node/src/run.rs
+++ b/crates/pointvane-node/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of a node's process.
+//! The life of a node's process: start, reload of settings, planned stop.
 
 use {
     crate::{
@@ -13,16 +13,16 @@
     tokio::{
         net::{TcpListener, UdpSocket},
         runtime::Builder,
-        signal::unix::{SignalKind, signal},
+        signal::unix::{Signal, SignalKind, signal},
         task::{LocalSet, spawn_local},
         time::interval,
     },
 };
 
-/// Time between two looks at connections that have rested too long.
+/// Time between two checks for connections that were idle too long. Not measured.
 const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
-/// Such looks between two looks at the settings.
-const LOOKS_PER_REREAD: u64 = 5;
+/// Such checks between two checks of the settings: they may change without a signal. Not measured.
+const CHECKS_PER_RELOAD: u64 = 5;
 
 /// Runs a node until it is stopped; `read_settings` is called at the start and whenever they may have changed.
 ///
@@ -45,54 +45,73 @@
     A: PlatformAdapter + 'static,
     S: Fn() -> Result<NodeSettings> + 'static,
 {
+    let terminate = signal(SignalKind::terminate()).wrap_err("signal")?;
+    let reload = signal(SignalKind::hangup()).wrap_err("signal")?;
+    start(&node).await?;
+    node.report.note(EventKind::Started);
+    until_terminated(&node, terminate, reload, &read_settings).await;
+    stop::stop(Rc::clone(&node)).await;
+    node.report.flush();
+    Ok(())
+}
+
+/// Opens all sockets and starts what runs for as long as the process lives.
+async fn start<A: PlatformAdapter + 'static>(node: &Rc<Node<A>>) -> Result<()> {
     let settings = node.settings().clone();
-    let mut terminate = signal(SignalKind::terminate()).wrap_err("signal")?;
-    let mut reload = signal(SignalKind::hangup()).wrap_err("signal")?;
-    let socket = Rc::new(UdpSocket::bind(settings.gossip).await.wrap_err("gossip")?);
-    let relays = SocketAddr::new(settings.gossip.ip(), settings.gossip.port() + 1);
-    let relays = Rc::new(UdpSocket::bind(relays).await.wrap_err("relays")?);
-    node.fleet.set_sockets(Rc::clone(&socket), Rc::clone(&relays));
-    listen(Rc::clone(&node), settings.traffic, traffic::serve).await?;
-    listen(Rc::clone(&node), settings.readiness, directory::readiness).await?;
-    listen(Rc::clone(&node), settings.directory, directory::directory).await?;
+    let gossip = Rc::new(UdpSocket::bind(settings.gossip).await.wrap_err("gossip")?);
+    let relay_address = SocketAddr::new(settings.gossip.ip(), settings.gossip.port() + 1);
+    let relays = Rc::new(UdpSocket::bind(relay_address).await.wrap_err("relays")?);
+    node.fleet.set_sockets(Rc::clone(&gossip), Rc::clone(&relays));
+    listen(Rc::clone(node), settings.traffic, traffic::serve).await?;
+    listen(Rc::clone(node), settings.readiness, directory::readiness).await?;
+    listen(Rc::clone(node), settings.directory, directory::directory).await?;
     if let Some(address) = settings.operator {
-        listen(Rc::clone(&node), address, operator::operator).await?;
+        listen(Rc::clone(node), address, operator::operator).await?;
     }
-    spawn_local(gossip_loop::run(Rc::clone(&node), socket));
-    let questions = TcpListener::bind(settings.gossip).await.wrap_err("questions of nodes")?;
-    spawn_local(state_query::serve(Rc::clone(&node), questions));
-    spawn_local(relay_loop::run(Rc::clone(&node), relays));
-    spawn_local(platform_reader::read(Rc::clone(&node)));
-    node.report.note(EventKind::Started);
+    spawn_local(gossip_loop::run(Rc::clone(node), gossip));
+    let queries = TcpListener::bind(settings.gossip).await.wrap_err("queries of nodes")?;
+    spawn_local(state_query::serve(Rc::clone(node), queries));
+    spawn_local(relay_loop::run(Rc::clone(node), relays));
+    spawn_local(platform_reader::read(Rc::clone(node)));
+    Ok(())
+}
+
+/// Closes idle connections and reloads settings until the process is to stop.
+async fn until_terminated<A: PlatformAdapter>(
+    node: &Node<A>,
+    mut terminate: Signal,
+    mut reload: Signal,
+    read_settings: &impl Fn() -> Result<NodeSettings>,
+) {
     let mut expire = interval(EXPIRE_INTERVAL);
-    let mut looks: u64 = 0;
+    let mut checks: u64 = 0;
     loop {
         tokio::select! {
-            _ = terminate.recv() => break,
-            _ = reload.recv() => reread(&node, &read_settings),
+            _ = terminate.recv() => return,
+            _ = reload.recv() => reload_settings(node, read_settings),
             _ = expire.tick() => {
                 node.dispatch.connections.expire();
-                looks += 1;
-                if looks.is_multiple_of(LOOKS_PER_REREAD) {
-                    reread_if_changed(&node, &read_settings);
+                checks += 1;
+                if checks.is_multiple_of(CHECKS_PER_RELOAD) {
+                    reload_if_changed(node, read_settings);
                 }
             }
         }
     }
-    stop::stop(Rc::clone(&node)).await;
-    node.report.flush();
-    Ok(())
 }
 
-/// The settings may change with no signal.
-fn reread_if_changed<A: PlatformAdapter>(node: &Node<A>, read_settings: &impl Fn() -> Result<NodeSettings>) {
+/// Puts settings in force that changed without a signal.
+///
+/// Settings that cannot be read are left to a reload by signal, which notes why: a file that is being written would give a
+/// line every few seconds.
+fn reload_if_changed<A: PlatformAdapter>(node: &Node<A>, read_settings: &impl Fn() -> Result<NodeSettings>) {
     if read_settings().is_ok_and(|settings| *node.settings() != settings) {
-        reread(node, read_settings);
+        reload_settings(node, read_settings);
     }
 }
 
-/// Takes changed settings; addresses stay those of the start.
-fn reread<A: PlatformAdapter>(node: &Node<A>, read_settings: &impl Fn() -> Result<NodeSettings>) {
+/// Puts the settings in force as they are now; addresses that are listened on stay those of the start.
+fn reload_settings<A: PlatformAdapter>(node: &Node<A>, read_settings: &impl Fn() -> Result<NodeSettings>) {
     match read_settings() {
         Ok(settings) => {
             node.report.note(EventKind::Reloaded { changed: *node.settings() != settings });
--- a/crates/pointvane-node/src/serve.rs
+++ b/crates/pointvane-node/src/serve.rs
@@ -1,4 +1,4 @@
-//! Listeners and the connections they take.
+//! Listeners, and the connections that they accept.
 
 use {
     crate::{body::RelayBody, node::Node, socket},
@@ -13,10 +13,10 @@
     },
 };
 
-/// Least head that `hyper` can bound, in bytes.
+/// Smallest buffer that `hyper` takes, in bytes.
 const HEAD_BYTES_MIN: usize = 8_192;
 
-/// Takes connections until the node closes; each request goes to `handle`.
+/// Accepts connections until the node closes; each request goes to `handle`.
 ///
 /// # Errors
 /// When the address cannot be listened on.
@@ -31,6 +31,7 @@
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
+                    // An error is about the connection that was to be accepted, and its caller's to notice.
                     if let Ok((stream, _)) = accepted {
                         spawn_local(connection(Rc::clone(&node), stream, handle));
                     }
@@ -49,6 +50,7 @@
     F: Future<Output = Result<Response<RelayBody>, Infallible>> + 'static,
 {
     if socket::watch_peer(&stream).is_err() {
+        // The connection has broken already.
         return;
     }
     let limits = node.dispatch.routes().limits();
@@ -66,6 +68,6 @@
         () = lifecycle_node.lifecycle.closing() => {}
     }
     served.as_mut().graceful_shutdown();
-    // Its end, good or bad, is the caller's to see.
+    // An error is about this connection alone, and its caller's to notice.
     _ = served.await;
 }
--- a/crates/pointvane-node/src/settings.rs
+++ b/crates/pointvane-node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node, whoever lays them.
+//! The settings of a node, whatever form they were read from.
 
 use {
     pointvane_core::Name,
@@ -15,25 +15,25 @@
     pub data_centre: Name,
     /// Whether the whole fleet starts for the first time, so that no other node knows anything yet.
     pub first_start: bool,
-    /// Where callers' requests are taken.
+    /// Where callers' requests are accepted.
     pub traffic: SocketAddr,
-    /// Where the node says whether it is ready.
+    /// Where readiness checks are answered.
     pub readiness: SocketAddr,
-    /// Where callers ask which nodes to use.
+    /// Where callers look up which nodes to use.
     pub directory: SocketAddr,
     /// Where operators read metrics, events and status, if anywhere.
     pub operator: Option<SocketAddr>,
-    /// Where datagrams and questions of other nodes are taken.
+    /// Where datagrams and queries of other nodes are accepted; relays at the next port.
     pub gossip: SocketAddr,
     /// Where the platform answers.
     pub platform: SocketAddr,
-    /// Other nodes' datagram addresses that are asked first.
+    /// Addresses of other nodes that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// What the deployment bounds.
+    /// Limits of the deployment.
     pub limits: NodeLimits,
 }
 
-/// What the deployment bounds.
+/// Limits of the deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeLimits {
     /// Time between a planned stop and the end of the process.
