--- a/crates/pointvane-dispatch/src/lib.rs
+++ b/crates/pointvane-dispatch/src/lib.rs
@@ -32,6 +32,8 @@
 mod pool;
 mod query_order;
 mod ranking;
+mod ranking_options;
+mod read_mark;
 mod reader;
 mod relay;
 mod retry;
@@ -56,9 +58,11 @@
         forwarders,
     },
     latency::LatencyQuantile,
-    pool::{Pool, UpstreamKey},
+    pool::Pool,
     query_order::{QueryCandidate, earlier_peer, query_position},
-    ranking::{Ranking, RankingOptions, Wanted},
+    ranking::Wanted,
+    ranking_options::{Ranking, RankingOptions},
+    read_mark::ReadMark,
     reader::{CallFailure, PlatformReader, QueryTarget, ReaderCall, ReaderOptions, ReaderRole},
     relay::{Relay, RelayDatagram, RelayLog, WireRelay},
     retry::{AttemptOutcome, Refusal, Verdict, judge, may_pass_on},
@@ -67,6 +71,6 @@
     search::{
         Found, PROBE_TIMEOUT_US, Search, SearchGoal, SearchOptions, SearchRequest, SearchStep, search_time_ms,
     },
-    state_query::{KnownState, ReadMark, StateReply, StateRequest},
-    upstream::{LoadSample, UpstreamState},
+    state_query::{KnownState, StateReply, StateRequest},
+    upstream::{LoadSample, UpstreamKey, UpstreamState},
 };
--- a/crates/pointvane-dispatch/src/pool.rs
+++ b/crates/pointvane-dispatch/src/pool.rs
@@ -3,16 +3,16 @@
 //! Owns the [`UpstreamState`] of each. Which of them a request should go to is decided in `ranking.rs`.
 
 use {
-    crate::{ranking::RankingOptions, subset::ServiceUpstreams, upstream::UpstreamState},
+    crate::{
+        ranking_options::RankingOptions,
+        subset::ServiceUpstreams,
+        upstream::{UpstreamKey, UpstreamState},
+    },
     pointvane_core::{Name, UpstreamLoad, UpstreamRecord},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::collections::{BTreeMap, HashMap},
 };
 
-/// One upstream of a pool, for as long as the pool lives.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct UpstreamKey(u64);
-
 /// Weight of the newest report in the mean slowdown of a service. Not measured: about the last fifty reports count.
 const SLOWDOWN_WEIGHT: f32 = 0.02;
 /// Mean slowdown before any report. Not measured: above 1, so that an upstream that reports a good figure is preferred.
--- a/crates/pointvane-dispatch/src/reader.rs
+++ b/crates/pointvane-dispatch/src/reader.rs
@@ -25,8 +25,9 @@
 
 use {
     crate::{
+        read_mark::ReadMark,
         relay::{Relay, RelayLog},
-        state_query::{ReadMark, StateRequest},
+        state_query::StateRequest,
     },
     freshness::Freshness,
     pointvane_core::US_PER_MS,
--- a/crates/pointvane-dispatch/src/reader/nodes.rs
+++ b/crates/pointvane-dispatch/src/reader/nodes.rs
@@ -3,8 +3,9 @@
 use {
     super::{CatchUp, PlatformReader, ReaderRole},
     crate::{
+        read_mark::ReadMark,
         relay::Relay,
-        state_query::{KnownState, ReadMark, StateReply, StateRequest},
+        state_query::{KnownState, StateReply, StateRequest},
     },
     pointvane_core::{Change, Name, US_PER_MS},
 };
--- a/crates/pointvane-dispatch/src/search.rs
+++ b/crates/pointvane-dispatch/src/search.rs
@@ -8,11 +8,7 @@
 //! Tests: `tests/search.rs`.
 
 use {
-    crate::{
-        admission::CALLER_ROUND_TRIP_MS,
-        pool::{Pool, UpstreamKey},
-        ranking::Wanted,
-    },
+    crate::{admission::CALLER_ROUND_TRIP_MS, pool::Pool, ranking::Wanted, upstream::UpstreamKey},
     pointvane_core::{Name, RouteRule},
     std::collections::VecDeque,
 };
--- a/crates/pointvane-dispatch/src/state_query.rs
+++ b/crates/pointvane-dispatch/src/state_query.rs
@@ -1,28 +1,12 @@
 //! Queries between nodes for what a relay has no room for: the messages, and how an answer is applied.
 
 use {
-    crate::relay::WireChange,
+    crate::{read_mark::ReadMark, relay::WireChange},
     pointvane_core::{Change, Name, RoutingConfiguration, UpstreamRecord},
     serde::{Deserialize, Serialize},
     std::collections::HashSet,
 };
 
-/// How far the platform is read.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReadMark {
-    /// The revision up to which everything is known.
-    pub revision: u64,
-    /// The version of the configuration that is known.
-    pub version: u64,
-}
-
-impl ReadMark {
-    /// Whether everything up to the other mark is known.
-    pub fn covers(self, other: Self) -> bool {
-        self.revision >= other.revision && self.version >= other.version
-    }
-}
-
 /// What a node knows of the platform, beside the last changes.
 pub trait KnownState {
     /// All upstreams but those in their grace period.
--- a/crates/pointvane-dispatch/src/upstream.rs
+++ b/crates/pointvane-dispatch/src/upstream.rs
@@ -14,6 +14,10 @@
     std::net::SocketAddr,
 };
 
+/// One upstream of a pool, for as long as the pool lives.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct UpstreamKey(pub(crate) u64);
+
 /// A load report, and when it was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadSample {
--- a/crates/pointvane-node/src/answer.rs
+++ b/crates/pointvane-node/src/answer.rs
@@ -1,7 +1,7 @@
 //! Answers of the node itself: refusals by the table of error kinds, and short texts.
 
 use {
-    crate::{body::RelayBody, node::Node},
+    crate::{connections::RelayBody, node::Node},
     bytes::Bytes,
     hyper::{
         Response, StatusCode,
--- a/crates/pointvane-node/src/attempt.rs
+++ b/crates/pointvane-node/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        body::RelayBody, exchange::exchange, in_flight::InFlight, node::Node, probe::search,
+        connections::RelayBody, exchange::exchange, in_flight::InFlight, node::Node, probe::search,
         request::CallerRequest, snapshot::UpstreamSnapshot,
     },
     hyper::Response,
@@ -111,7 +111,7 @@
     node.report.attempted(&snapshot.upstream, outcome.as_str(), times.latency_ms);
     let load = snapshot.load();
     let line = || EventKind::AttemptEnded {
-        request: request.id(node),
+        request: request.id.clone(),
         service: request.routed.service.clone(),
         upstream: snapshot.upstream.clone(),
         outcome: outcome.as_str().into(),
@@ -146,7 +146,7 @@
     if late {
         let load = snapshot.load();
         node.report.failure(snapshot.taken_at_us, || EventKind::RequestWouldBeLate {
-            request: request.id(node),
+            request: request.id.clone(),
             upstream: snapshot.upstream.clone(),
             cost_percent: snapshot.cost_percent(),
             running: load.running,
--- a/crates/pointvane-node/src/body.rs
+++ b/crates/pointvane-node/src/body.rs
@@ -1,7 +1,6 @@
 //! Bodies of requests and answers: gathered up to a size, streamed beyond it.
 
 use {
-    crate::connections::Connection,
     bytes::Bytes,
     http_body_util::BodyExt,
     hyper::body::{Body, Frame, Incoming, SizeHint},
@@ -11,18 +10,18 @@
     },
 };
 
-/// A body of which the first part has come; the rest, if any, is streamed.
+/// A body of which the first part has come; the rest, if any, is streamed over a connection of type `C`.
 #[derive(Debug)]
-pub struct RelayBody {
+pub struct StreamedBody<C> {
     first: Option<Bytes>,
     rest: Option<Incoming>,
     /// Length of the whole, if it is known.
     length: Option<u64>,
     /// The connection that the rest comes on; closed after it.
-    _connection: Option<Connection>,
+    _connection: Option<C>,
 }
 
-impl RelayBody {
+impl<C> StreamedBody<C> {
     /// A body that has come whole.
     pub fn whole(bytes: Bytes) -> Self {
         let length = Some(bytes.len() as u64);
@@ -30,7 +29,7 @@
     }
 
     /// A body of which only the first part has come.
-    pub fn streamed(gathered: Gathered, connection: Option<Connection>) -> Self {
+    pub fn streamed(gathered: Gathered, connection: Option<C>) -> Self {
         Self {
             first: Some(gathered.bytes).filter(|bytes| !bytes.is_empty()),
             rest: gathered.rest,
@@ -40,7 +39,7 @@
     }
 }
 
-impl Body for RelayBody {
+impl<C: Unpin> Body for StreamedBody<C> {
     type Data = Bytes;
     type Error = hyper::Error;
 
--- a/crates/pointvane-node/src/connections.rs
+++ b/crates/pointvane-node/src/connections.rs
@@ -3,7 +3,7 @@
 //! Owns the idle ones. A connection is kept only after a whole answer, and used again only while its upstream keeps it too.
 
 use {
-    crate::{body::RelayBody, socket},
+    crate::{body::StreamedBody, socket},
     hyper::{
         HeaderMap, Request, Response,
         body::Incoming,
@@ -41,6 +41,9 @@
     Request,
 }
 
+/// Bodies of requests and answers; that of a long answer holds the connection that it comes on.
+pub type RelayBody = StreamedBody<Connection>;
+
 #[derive(Debug)]
 struct Idle {
     sender: SendRequest<RelayBody>,
--- a/crates/pointvane-node/src/directory.rs
+++ b/crates/pointvane-node/src/directory.rs
@@ -1,7 +1,7 @@
 //! The answers to readiness checks and to callers that look up which nodes to use.
 
 use {
-    crate::{answer::short, body::RelayBody, node::Node},
+    crate::{answer::short, connections::RelayBody, node::Node},
     hyper::{Request, Response, StatusCode, body::Incoming},
     pointvane_core::PlatformAdapter,
     pointvane_dispatch::directory_addresses,
--- a/crates/pointvane-node/src/dispatch.rs
+++ b/crates/pointvane-node/src/dispatch.rs
@@ -3,7 +3,7 @@
 //! Owns this state and hands it to the decisions of `pointvane-dispatch`; nothing is decided here.
 
 use {
-    crate::{connections::Connections, probe::Probes},
+    crate::{connections::Connections, probe_table::ProbeTable},
     pointvane_config::{ChoicePolicy, NodeAdmissionOptions, NodeOptions},
     pointvane_core::{Name, RouteRule, RoutingConfiguration},
     pointvane_dispatch::{
@@ -30,7 +30,7 @@
     /// Kept connections to upstreams.
     pub connections: Connections,
     /// Probes under way.
-    pub probes: Probes,
+    pub probes: ProbeTable,
     routes: RefCell<Rc<RouteTable>>,
     pool: RefCell<Pool>,
     budgets: RefCell<NodeBudgets>,
@@ -52,7 +52,7 @@
             },
             hedges: options.repeats.hedge,
             connections: Connections::default(),
-            probes: Probes::default(),
+            probes: ProbeTable::default(),
             routes: RefCell::default(),
             pool: RefCell::new(Pool::new(ranking_options(policy), data_centre, seeder.random())),
             budgets: RefCell::new(NodeBudgets::new(now_us)),
--- a/crates/pointvane-node/src/exchange.rs
+++ b/crates/pointvane-node/src/exchange.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        body::{Gathered, RelayBody, gather},
-        connections::{Connection, Purpose, SendError},
+        body::{Gathered, gather},
+        connections::{Connection, Purpose, RelayBody, SendError},
         node::Node,
         request::{CallerRequest, strip_hop_headers},
     },
--- a/crates/pointvane-node/src/forward.rs
+++ b/crates/pointvane-node/src/forward.rs
@@ -4,7 +4,7 @@
     crate::{
         answer::Refused,
         attempt::{AttemptResult, attempt},
-        body::RelayBody,
+        connections::RelayBody,
         node::Node,
         request::CallerRequest,
     },
--- a/crates/pointvane-node/src/headers.rs
+++ b/crates/pointvane-node/src/headers.rs
@@ -1,9 +1,8 @@
 //! The platform's headers: their names as `hyper` takes them, and the values that are read.
 
 use {
-    crate::node::Node,
     hyper::{HeaderMap, header::HeaderName},
-    pointvane_core::{HeaderNames, PlatformAdapter, UpstreamLoad},
+    pointvane_core::HeaderNames,
 };
 
 /// The headers as `hyper` takes them.
@@ -36,19 +35,15 @@
     }
 }
 
-impl<A: PlatformAdapter> Node<A> {
-    /// The load report in an answer's headers.
-    ///
-    /// One that cannot be read counts as none: the answer is good all the same, and the upstream is then ranked by this
-    /// node's own latencies.
-    pub fn load_report(&self, headers: &HeaderMap) -> Option<UpstreamLoad> {
-        let text = headers.get(&self.headers.load)?.to_str().ok()?;
-        self.adapter.load(text)
-    }
-
+impl Headers {
     /// Time that a caller says it will wait, in milliseconds; none if it doesn't, or not in a number.
     pub fn caller_waits_ms(&self, headers: &HeaderMap) -> Option<u64> {
-        let text = headers.get(&self.headers.deadline_ms)?.to_str().ok()?;
+        let text = headers.get(&self.deadline_ms)?.to_str().ok()?;
         text.trim().parse().ok()
     }
+
+    /// The identity that a caller gave its request, for log lines; empty if it gave none, or one that is no text.
+    pub fn request_id_text(&self, headers: &HeaderMap) -> String {
+        headers.get(&self.request_id).and_then(|id| id.to_str().ok()).unwrap_or_default().into()
+    }
 }
--- a/crates/pointvane-node/src/in_flight.rs
+++ b/crates/pointvane-node/src/in_flight.rs
@@ -54,7 +54,7 @@
         }
         state.was_unresponsive(now_us);
         self.node.report.failure(now_us, || EventKind::AttemptGivenUp {
-            request: self.request.id(&self.node),
+            request: self.request.id.clone(),
             upstream: state.id().clone(),
             after_ms: now_us.saturating_sub(self.since_us) / US_PER_MS,
         });
--- a/crates/pointvane-node/src/lib.rs
+++ b/crates/pointvane-node/src/lib.rs
@@ -25,6 +25,7 @@
 mod platform_reader;
 mod platform_state;
 mod probe;
+mod probe_table;
 mod publication;
 mod relay_loop;
 mod report;
--- a/crates/pointvane-node/src/operator.rs
+++ b/crates/pointvane-node/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator port: metrics, events and status.
 
 use {
-    crate::{answer::short, body::RelayBody, node::Node},
+    crate::{answer::short, connections::RelayBody, node::Node},
     hyper::{Request, Response, StatusCode, body::Incoming},
     pointvane_core::PlatformAdapter,
     serde::Serialize,
--- a/crates/pointvane-node/src/platform_client.rs
+++ b/crates/pointvane-node/src/platform_client.rs
@@ -4,10 +4,7 @@
 //! [`pointvane_dispatch::PlatformReader`].
 
 use {
-    crate::{
-        body::{RelayBody, gather},
-        socket,
-    },
+    crate::{body::gather, connections::RelayBody, socket},
     bytes::Bytes,
     hyper::{
         Request, StatusCode,
--- a/crates/pointvane-node/src/probe.rs
+++ b/crates/pointvane-node/src/probe.rs
@@ -5,9 +5,10 @@
 
 use {
     crate::{
-        body::{RelayBody, gather},
-        connections::{Connection, Connections, Purpose},
+        body::gather,
+        connections::{Connection, Connections, Purpose, RelayBody},
         node::Node,
+        probe_table::ProbeAnswers,
         request::CallerRequest,
     },
     bytes::Bytes,
@@ -16,9 +17,9 @@
     pointvane_dispatch::{
         Found, PROBE_TIMEOUT_US, ProbeOutcome, Search, SearchGoal, SearchRequest, SearchStep, UpstreamKey,
     },
-    std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, time::Duration},
+    std::{net::SocketAddr, rc::Rc, time::Duration},
     tokio::{
-        sync::mpsc::{UnboundedSender, unbounded_channel},
+        sync::mpsc::unbounded_channel,
         task::spawn_local,
         time::{Instant, sleep, timeout, timeout_at},
     },
@@ -27,14 +28,6 @@
 /// Most bytes of an answer's body that are read to keep the connection. Not measured: health answers are short.
 const BODY_MAX_BYTES: usize = 4_096;
 
-type Listeners = HashMap<UpstreamKey, Vec<UnboundedSender<UpstreamKey>>>;
-
-/// Probes under way, and the searches that wait for their answers.
-#[derive(Debug, Default)]
-pub struct Probes {
-    listeners: RefCell<Listeners>,
-}
-
 /// Searches an upstream for a request that is sent now.
 pub async fn search<A: PlatformAdapter + 'static>(
     node: &Rc<Node<A>>,
@@ -92,18 +85,17 @@
     node: &Rc<Node<A>>,
     service: &Name,
     key: UpstreamKey,
-    answers: UnboundedSender<UpstreamKey>,
+    answers: ProbeAnswers,
 ) -> bool {
-    let mut listeners = node.dispatch.probes.listeners.borrow_mut();
-    if let Some(joined) = listeners.get_mut(&key) {
-        joined.push(answers);
+    let probes = &node.dispatch.probes;
+    if probes.join(key, &answers) {
         return true;
     }
     if !node.dispatch.take_probe(node.now_us()) {
         return false;
     }
     node.report.probed();
-    listeners.insert(key, vec![answers]);
+    probes.start(key, answers);
     spawn_local(probe(Rc::clone(node), service.clone(), key));
     true
 }
@@ -116,11 +108,7 @@
     {
         state.probe_ended(outcome, node.now_us());
     }
-    let listeners = node.dispatch.probes.listeners.borrow_mut().remove(&key).unwrap_or_default();
-    if outcome == Some(ProbeOutcome::Healthy) {
-        // A search that is over has dropped its receiver.
-        listeners.iter().for_each(|listener| _ = listener.send(key));
-    }
+    node.dispatch.probes.end(key, outcome == Some(ProbeOutcome::Healthy));
 }
 
 /// How a probe ended; none if the upstream or its service is no longer known.
--- a/crates/pointvane-node/src/publication.rs
+++ b/crates/pointvane-node/src/publication.rs
@@ -2,6 +2,7 @@
 
 use {
     crate::node::Node,
+    hyper::HeaderMap,
     pointvane_core::{
         Change, Name, PlatformAdapter, RefusedItem, RoutingConfiguration, UpstreamLoad, UpstreamRecord,
     },
@@ -18,6 +19,15 @@
         }
     }
 
+    /// The load report in an answer's headers.
+    ///
+    /// One that cannot be read counts as none: the answer is good all the same, and the upstream is then ranked by this
+    /// node's own latencies.
+    pub fn load_report(&self, headers: &HeaderMap) -> Option<UpstreamLoad> {
+        let text = headers.get(&self.headers.load)?.to_str().ok()?;
+        self.adapter.load(text)
+    }
+
     /// Puts changes in force.
     pub fn apply(&self, changes: Vec<Change>) {
         for change in changes {
--- a/crates/pointvane-node/src/report.rs
+++ b/crates/pointvane-node/src/report.rs
@@ -4,7 +4,6 @@
 //! sampling. What is suppressed is counted in a line of its own.
 
 use {
-    crate::request::CallerRequest,
     eyre::Result,
     opentelemetry::{
         KeyValue,
@@ -137,8 +136,8 @@
     }
 
     /// Counts a request that got an upstream's answer.
-    pub fn answered(&self, request: &CallerRequest, status: u16, spent_ms: u64) {
-        let route = self.label("route", &request.routed.route.name);
+    pub fn answered(&self, route: &Name, status: u16, spent_ms: u64) {
+        let route = self.label("route", route);
         let class = KeyValue::new("status", i64::from(status / 100 * 100));
         self.requests.add(1, &[route.clone(), class]);
         self.request_s.record(spent_ms as f64 / MS_PER_S, &[route]);
--- a/crates/pointvane-node/src/request.rs
+++ b/crates/pointvane-node/src/request.rs
@@ -1,7 +1,7 @@
 //! A caller's request, with the state that its attempts share.
 
 use {
-    crate::{body::Gathered, node::Node},
+    crate::body::Gathered,
     bytes::Bytes,
     hyper::{
         HeaderMap, Method, Uri,
@@ -28,6 +28,8 @@
 pub struct CallerRequest {
     /// Where it goes.
     pub routed: RoutedRequest,
+    /// The identity that its caller gave it, for log lines.
+    pub id: String,
     /// Its method.
     pub method: Method,
     /// Its target.
@@ -49,12 +51,6 @@
 }
 
 impl CallerRequest {
-    /// The identity that the caller gave it, for log lines; empty if it gave none, or one that is no text.
-    pub fn id<A>(&self, node: &Node<A>) -> String {
-        let id = self.headers.get(&node.headers.request_id).and_then(|id| id.to_str().ok());
-        id.unwrap_or_default().into()
-    }
-
     /// Time since it arrived, in milliseconds.
     pub fn elapsed_ms(&self, now_us: u64) -> f64 {
         now_us.saturating_sub(self.arrived_at_us) as f64 / US_PER_MS as f64
--- a/crates/pointvane-node/src/serve.rs
+++ b/crates/pointvane-node/src/serve.rs
@@ -1,7 +1,7 @@
 //! Listeners, and the connections that they accept.
 
 use {
-    crate::{body::RelayBody, node::Node, socket},
+    crate::{connections::RelayBody, node::Node, socket},
     eyre::{Result, WrapErr},
     hyper::{Request, Response, body::Incoming, server::conn::http1, service::service_fn},
     hyper_util::rt::{TokioIo, TokioTimer},
--- a/crates/pointvane-node/src/traffic.rs
+++ b/crates/pointvane-node/src/traffic.rs
@@ -3,7 +3,8 @@
 use {
     crate::{
         answer::{Refused, refusal},
-        body::{Gathered, RelayBody, gather},
+        body::{Gathered, gather},
+        connections::RelayBody,
         forward::{FinalAnswer, forward},
         node::Node,
         request::{CallerRequest, strip_hop_headers},
@@ -64,7 +65,8 @@
     arrived_at_us: u64,
 ) -> Result<CallerRequest, Refused> {
     let routed = routed(node, &head)?;
-    let answer_by_us = answer_by_us(&routed.route, node.caller_waits_ms(&head.headers), arrived_at_us);
+    let answer_by_us =
+        answer_by_us(&routed.route, node.headers.caller_waits_ms(&head.headers), arrived_at_us);
     let body_bytes_max = node.dispatch.routes().limits().body_bytes_max;
     if body.size_hint().exact().is_some_and(|length| length > body_bytes_max) {
         return Err(Refused { status: Some(StatusCode::PAYLOAD_TOO_LARGE), ..ErrorKind::BadRequest.into() });
@@ -74,19 +76,20 @@
     if node.now_us() >= answer_by_us {
         return Err(ErrorKind::DeadlinePassed.into());
     }
-    Ok(caller_request(head, gathered, routed, arrived_at_us, answer_by_us))
+    let id = node.headers.request_id_text(&head.headers);
+    Ok(caller_request(id, head, gathered, routed, arrived_at_us, answer_by_us))
 }
 
 fn report_end<A: PlatformAdapter>(node: &Node<A>, request: &CallerRequest, answer: &FinalAnswer) {
     let now_us = node.now_us();
     let spent_ms = now_us.saturating_sub(request.arrived_at_us) / US_PER_MS;
     let attempts = request.sends.get();
-    let id = text(request.headers.get(&node.headers.request_id));
+    let id = request.id.clone();
     let (route, version) = (request.routed.route.name.clone(), request.routed.version);
     match answer {
         Ok(response) => {
             let status = response.status().as_u16();
-            node.report.answered(request, status, spent_ms);
+            node.report.answered(&route, status, spent_ms);
             let line =
                 || EventKind::RequestAnswered { request: id, route, version, status, attempts, spent_ms };
             if response.status().is_success() && attempts == 1 {
@@ -143,6 +146,7 @@
 }
 
 fn caller_request(
+    id: String,
     head: Parts,
     gathered: Gathered,
     routed: RoutedRequest,
@@ -157,6 +161,7 @@
     };
     CallerRequest {
         routed,
+        id,
         method: head.method,
         uri: head.uri,
         headers,
