--- a/crates/pointvane-mesh/src/membership/merge.rs
+++ b/crates/pointvane-mesh/src/membership/merge.rs
@@ -1,4 +1,4 @@
-//! Merging of rows told by others, and refutation of wrong ones about this process.
+//! Merging of rows from others, and refutation of suspicions of this process.
 
 use {
     super::{Action, Membership, changed},
@@ -27,7 +27,7 @@
             Some(member) => match member.compare(row) {
                 Ordering::Less => {}
                 Ordering::Equal => {
-                    // Load and stamp may move without a new precedence; they are told only by the VM's own row.
+                    // Entry and stamp may change within a version; only the VM's own row brings newer ones.
                     member.row.entry = row.entry;
                     member.row.stamp = member.row.stamp.max(row.stamp);
                 }
@@ -44,25 +44,25 @@
         }
     }
 
-    /// The row held of a sender that stands against its own word; the sender must hear of it.
-    pub(super) fn belief_to_refute(&self, told: &MemberRow) -> Option<MemberRow> {
-        let member = self.members.get(&told.identity.name)?;
-        let of_a_later_life = member.row.identity.incarnation > told.identity.incarnation;
-        let speaks_against = member.row.state != VmState::Live || of_a_later_life;
-        let stands = speaks_against && member.compare(told) == Ordering::Less;
-        stands.then(|| member.row.clone())
+    /// The row known of a sender that overrides its own; the sender has to learn of it to refute it.
+    pub(super) fn row_to_refute(&self, own: &MemberRow) -> Option<MemberRow> {
+        let member = self.members.get(&own.identity.name)?;
+        let of_a_later_life = member.row.identity.incarnation > own.identity.incarnation;
+        let contradicts = member.row.state != VmState::Live || of_a_later_life;
+        let overrides = contradicts && member.compare(own) == Ordering::Less;
+        overrides.then(|| member.row.clone())
     }
 
-    /// Answers a wrong word about this process with a later one of its own; true if there was need to.
+    /// Refutes a wrong row of this process by a higher version of its own; true if there was need to.
     pub(super) fn refute(&mut self, row: &MemberRow) -> bool {
         if row.identity.incarnation > self.me.identity.incarnation {
-            // A life before this one whose wall clock stood later: go on as a still later one, or nobody hears of this.
+            // An earlier life under a later wall clock: go on as a still later one, or all others would ignore this one.
             self.me.identity.incarnation = Incarnation(row.identity.incarnation.0 + 1);
             self.me.version += 1;
             return true;
         }
         let same_life = row.identity.incarnation == self.me.identity.incarnation;
-        // An old suspicion is overruled already; death stands against every word of this life.
+        // An old suspicion is overridden already; death overrides every version of this life.
         let wrong = match row.state {
             VmState::Suspect => row.version >= self.me.version,
             VmState::Dead => true,
@@ -71,7 +71,7 @@
         if same_life && wrong {
             self.me.version = self.me.version.max(row.version) + 1;
             if row.state == VmState::Dead {
-                // Death cannot be taken back by this life: go on as a later one.
+                // Death cannot be refuted by this life: go on as a later one.
                 self.me.identity.incarnation.0 += 1;
             }
         }
