--- a/crates/pointvane-control/src/platform.rs
+++ b/crates/pointvane-control/src/platform.rs
@@ -8,15 +8,18 @@
     pointvane_core::{Name, Platform, PlatformError, PlatformReading},
     serde::Deserialize,
     std::{net::SocketAddr, time::Duration},
-    ureq::Agent,
+    ureq::{Agent, http::HeaderMap},
 };
 
+/// Longest wait of a watch, in seconds: the platform's own limit.
 const WAIT_S: u64 = 10;
-/// Beyond the wait itself, for the platform's own delays.
+/// Time beyond the wait itself, for the platform's own delays. Not measured.
 const SLACK: Duration = Duration::from_secs(3);
 /// Largest body read: a value of a megabyte in base64, with its frame.
 const BODY_LIMIT_BYTES: u64 = 2 << 20;
+/// Status while nothing is published under a key.
 const STATUS_NOT_FOUND: u16 = 404;
+/// Header with the platform's write count.
 const INDEX_HEADER: &str = "x-consul-index";
 
 /// The platform at one address.
@@ -28,7 +31,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Entry {
+struct KeyValue {
     value: Option<String>,
     modify_index: u64,
 }
@@ -52,17 +55,24 @@
         let url = format!("http://{}/v1/kv/{key}?index={after_index}&wait={WAIT_S}s", self.address);
         let mut response = self.agent.get(&url).call().map_err(|_| PlatformError::Unavailable)?;
         if response.status().as_u16() == STATUS_NOT_FOUND {
-            let index = response.headers().get(INDEX_HEADER).and_then(|v| v.to_str().ok());
-            let index = index.and_then(|text| text.parse().ok()).unwrap_or(0);
-            return Ok(PlatformReading { index, value: None });
+            return Ok(PlatformReading { index: index(response.headers())?, value: None });
         }
         if !response.status().is_success() {
             return Err(PlatformError::Unavailable);
         }
         let body = response.body_mut().with_config().limit(BODY_LIMIT_BYTES);
-        let entries: Vec<Entry> = body.read_json().map_err(|_| PlatformError::Malformed)?;
+        let entries: Vec<KeyValue> = body.read_json().map_err(|_| PlatformError::Malformed)?;
         let entry = entries.into_iter().next().ok_or(PlatformError::Malformed)?;
         let value = STANDARD.decode(entry.value.unwrap_or_default()).map_err(|_| PlatformError::Malformed)?;
         Ok(PlatformReading { index: entry.modify_index, value: Some(value) })
     }
 }
+
+/// The write count that an answer without a value carries.
+///
+/// One that is missing or no number is an error, and no count of 0: with that the next watch would return at once, and so
+/// would all that follow.
+fn index(headers: &HeaderMap) -> Result<u64, PlatformError> {
+    let text = headers.get(INDEX_HEADER).and_then(|value| value.to_str().ok());
+    text.and_then(|text| text.parse().ok()).ok_or(PlatformError::Malformed)
+}
