--- a/crates/pointvane-core/src/identity.rs
+++ b/crates/pointvane-core/src/identity.rs
@@ -57,7 +57,7 @@
 pub struct VmIdentity {
     /// The VM's name, unique in the fleet.
     pub name: Name,
-    /// The data centre the VM stands in.
+    /// The data centre the VM is in.
     pub data_centre: Name,
     /// The VM's IP number.
     pub address: IpAddr,
--- a/crates/pointvane-core/src/published.rs
+++ b/crates/pointvane-core/src/published.rs
@@ -15,7 +15,7 @@
     pub service: Name,
     /// Where it serves.
     pub address: SocketAddr,
-    /// The data centre it stands in.
+    /// The data centre it is in.
     pub data_centre: Name,
     /// Requests it runs at once.
     pub slots: u32,
--- a/crates/pointvane-core/src/request.rs
+++ b/crates/pointvane-core/src/request.rs
@@ -1,4 +1,4 @@
-//! What a request says of itself, and the headers that carry it.
+//! Class of a request, and the headers of the three programs.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/pointvane-core/src/traits.rs
+++ b/crates/pointvane-core/src/traits.rs
@@ -12,7 +12,7 @@
     fn now_us(&self) -> u64;
 }
 
-/// What an upstream says of its own load, with an answer or when asked.
+/// An upstream's report of its own load, in an answer or to a probe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
     /// Requests it holds, waiting or running.
@@ -49,7 +49,7 @@
     }
 }
 
-/// One word about one upstream of a service, between entry VMs.
+/// What an entry VM knows of one upstream of a service, as it is sent to other entry VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
     /// Position of the upstream in the configuration.
@@ -58,7 +58,7 @@
     pub requests: u16,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Age when told or heard, in milliseconds.
+    /// Age when it was sent or received, in milliseconds.
     pub age_ms: u16,
 }
 
--- a/crates/pointvane-dispatch/src/attempts.rs
+++ b/crates/pointvane-dispatch/src/attempts.rs
@@ -119,7 +119,7 @@
         NextStep::Retry
     }
 
-    /// What is said when only the retry budget stands against another attempt: the same as if none were left.
+    /// The final answer when only the retry budget prevents another attempt: the same as if none were left.
     fn give_up_without_token(&self, outcome: AttemptOutcome) -> NextStep {
         match self.judge(outcome, false) {
             Verdict::GiveUp(error) => self.give_up(error),
--- a/crates/pointvane-dispatch/src/directory.rs
+++ b/crates/pointvane-dispatch/src/directory.rs
@@ -1,6 +1,6 @@
 //! Directory: which nodes a caller is sent to.
 //!
-//! Inputs: the nodes that accept callers, by the membership of the node that is asked, and the data centre that the caller
+//! Inputs: the nodes that accept callers, by the membership of the node that answers, and the data centre that the caller
 //! names. The list is the same from every node, and steady, since callers drop connections to nodes that a new answer lacks.
 
 use {pointvane_core::Name, std::net::SocketAddr};
@@ -15,7 +15,7 @@
 pub struct DirectoryMember {
     /// Where it accepts requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it is in.
     pub data_centre: Name,
 }
 
--- a/crates/pointvane-dispatch/src/lib.rs
+++ b/crates/pointvane-dispatch/src/lib.rs
@@ -14,7 +14,7 @@
 //! | when a second attempt runs beside the first | `hedge.rs` |
 //! | when an upstream gets no new work | `ejection.rs` |
 //! | how many retries and probes a node may spend | `budget.rs` |
-//! | when the platform or another node is asked for changes | `reader.rs` and its modules |
+//! | when the platform is read or another node is queried | `reader.rs` and its modules |
 //! | how changes reach all nodes | `relay.rs`, `fan_out.rs`, `state_query.rs`, `query_order.rs` |
 //! | which nodes a caller is sent to | `directory.rs` |
 #![forbid(unsafe_code)]
--- a/crates/pointvane-dispatch/src/query_order.rs
+++ b/crates/pointvane-dispatch/src/query_order.rs
@@ -18,7 +18,7 @@
     pub node: T,
     /// Its position in the order.
     pub position: f64,
-    /// Whether it stands in the same data centre.
+    /// Whether it is in the same data centre.
     pub near: bool,
 }
 
--- a/crates/pointvane-dispatch/src/ranking.rs
+++ b/crates/pointvane-dispatch/src/ranking.rs
@@ -1,6 +1,6 @@
 //! Ranking: which upstreams of a service a request should go to, the most promising first.
 //!
-//! Decided for each search (see `search.rs`). Inputs: the cost of each upstream that accepts work, whether it stands in
+//! Decided for each search (see `search.rs`). Inputs: the cost of each upstream that accepts work, whether it is in
 //! the node's data centre, the size of the request's body, the upstreams that the request was sent to before. Ejected ones
 //! are ranked only when there are no others. A random part is added to each cost, so that nodes with the same
 //! knowledge spread. Tests: `slow_and_full_upstreams_come_after_idle_ones`,
--- a/crates/pointvane-dispatch/src/ranking_options.rs
+++ b/crates/pointvane-dispatch/src/ranking_options.rs
@@ -1,4 +1,4 @@
-//! How upstreams are ranked: what by, and the constants of ranking. The rule itself stands in `ranking.rs`.
+//! How upstreams are ranked: what by, and the constants of ranking. The rule itself is in `ranking.rs`.
 
 /// What upstreams are ranked by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/pointvane-dispatch/src/reader/nodes.rs
+++ b/crates/pointvane-dispatch/src/reader/nodes.rs
@@ -119,7 +119,7 @@
         changes
     }
 
-    /// Takes note that a peer told nothing. After a start there is a pause before the next query.
+    /// Takes note that a query failed. After a start there is a pause before the next query.
     pub fn query_failed(&mut self, now_us: u64) {
         if self.snapshot.is_some() && self.start_queries > 0 {
             self.pause_until_us = now_us + self.options.start_pause_ms * US_PER_MS;
--- a/crates/pointvane-dispatch/src/search.rs
+++ b/crates/pointvane-dispatch/src/search.rs
@@ -3,7 +3,7 @@
 //! A search makes passes until it finds an uncontended upstream or its time is over. A pass ranks the candidates; if none
 //! has a fresh, good report it probes the most promising ones, first a few, then some more, and takes the first that
 //! answers well. The machine returns what to do; its caller sends probes, waits, and reports the answers. Probes are
-//! asked right before a send since a report is worth little after some milliseconds (docs/MEASUREMENTS.md, "Ways of
+//! sent right before the request, since a report is worth little after some milliseconds (docs/MEASUREMENTS.md, "Ways of
 //! choosing"). Where upstreams report no load, or probing is switched off, the best-ranked candidate is taken at once.
 //! Tests: `tests/search.rs`.
 
--- a/crates/pointvane-mesh/src/feed.rs
+++ b/crates/pointvane-mesh/src/feed.rs
@@ -6,7 +6,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Who asks for the feed.
+/// Which program opens a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedRole {
     /// The VM's entry; it sends an [`EntryReport`] from time to time.
@@ -20,11 +20,11 @@
 /// First message on a stream to a control.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedHello {
-    /// Who asks.
+    /// Which program.
     pub role: FeedRole,
 }
 
-/// What an entry tells its control.
+/// A report of an entry to its control.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryReport {
     /// The entry process's life.
@@ -51,7 +51,7 @@
     pub vms: Vec<ListedVm>,
 }
 
-/// What a control tells its entry and locate.
+/// An update of a control for its entry and locate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedUpdate {
     /// The configuration in force from now on.
--- a/crates/pointvane-mesh/src/load.rs
+++ b/crates/pointvane-mesh/src/load.rs
@@ -1,4 +1,4 @@
-//! Load told between entry VMs: one datagram, its sender under a byte budget, its receiver.
+//! Load exchanged between entry VMs (three programs only): one datagram, its sender under a byte budget, its receiver.
 
 use {
     crate::codec::{self, UDP_HEAD_BYTES},
@@ -7,7 +7,7 @@
     std::{collections::HashMap, net::IpAddr},
 };
 
-/// What one entry VM tells another of the load it knows.
+/// What one entry VM knows of the load, for another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDatagram {
     /// The sender's life.
@@ -22,12 +22,12 @@
     pub services: Vec<ServiceLoad>,
 }
 
-/// What is told of one service.
+/// The load of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
     /// Position of the service in the configuration.
     pub position: u16,
-    /// What is told of its upstreams.
+    /// The load of its upstreams.
     pub observations: Vec<Observation>,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Decides when load is told; holds the byte budget.
+/// Decides when load is sent; holds the byte budget.
 #[derive(Debug)]
 pub struct LoadSender {
     options: LoadSenderOptions,
--- a/crates/pointvane-mesh/src/member.rs
+++ b/crates/pointvane-mesh/src/member.rs
@@ -7,7 +7,7 @@
     std::{cmp::Ordering, net::SocketAddr},
 };
 
-/// The entry process of a VM, as its control last told.
+/// The entry process of a VM, as its control last published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRow {
     /// The entry process's life, which keys name.
@@ -18,7 +18,7 @@
     pub leaving: bool,
 }
 
-/// One VM, as told between controls.
+/// One VM, as exchanged between controls or nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
     /// Who it is, with its control's life.
@@ -29,7 +29,7 @@
     pub entry_port: u16,
     /// What is believed of it.
     pub state: VmState,
-    /// Count of this life's own words about itself; a word with a larger count overrides a suspicion.
+    /// Version of this life's own row; a higher one overrides a suspicion (SWIM's incarnation number).
     pub version: u32,
     /// Its entry process; none while that does not run.
     pub entry: Option<EntryRow>,
@@ -37,7 +37,7 @@
     pub stamp: Stamp,
 }
 
-/// How firmly a row stands against another about the same VM; the larger is kept.
+/// Precedence of a row over another about the same VM; the larger is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     incarnation: Incarnation,
@@ -52,7 +52,7 @@
         SocketAddr::new(self.identity.address, self.control_port)
     }
 
-    /// The row's precedence: a later life first, then death, then the VM's own later word, then suspicion.
+    /// The row's precedence: a later life first, then death, then a higher version, then suspicion.
     pub fn precedence(&self) -> Precedence {
         let suspicion = match self.state {
             VmState::Live => 0,
@@ -82,8 +82,8 @@
 }
 
 impl Member {
-    /// Compares a row told by somebody with the one held.
-    pub fn compare(&self, told: &MemberRow) -> Ordering {
-        told.precedence().cmp(&self.row.precedence())
+    /// Compares a row that was received with the one held.
+    pub fn compare(&self, received: &MemberRow) -> Ordering {
+        received.precedence().cmp(&self.row.precedence())
     }
 }
--- a/crates/pointvane-mesh/src/message.rs
+++ b/crates/pointvane-mesh/src/message.rs
@@ -51,7 +51,7 @@
         /// The VM to ping.
         target: Name,
     },
-    /// Only look at stamps and rows.
+    /// No answer is wanted; stamps and rows are the message.
     Announce,
 }
 
--- a/crates/pointvane-mesh/src/spread.rs
+++ b/crates/pointvane-mesh/src/spread.rs
@@ -46,7 +46,7 @@
     Same,
     /// It is older than the one in force, and refused.
     Older,
-    /// It came from the platform before the peers were asked, and waits.
+    /// It came from the platform before the peers were queried, and waits.
     Held,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl Spread {
-    /// Nothing held; peers are asked before the platform is trusted.
+    /// Nothing held; peers are queried before the platform is trusted.
     pub fn new(now_us: u64) -> Self {
         Self {
             held: None,
@@ -96,7 +96,7 @@
         self.held.as_ref().map_or_else(Stamp::default, |stored| stored.stamp)
     }
 
-    /// Takes a peer's word on what it holds; `from` is where the value can be fetched.
+    /// Takes note of what a peer holds; `from` is where the value can be fetched.
     pub fn heard(&mut self, stamp: Stamp, from: SocketAddr, now_us: u64) -> Option<SpreadAction> {
         if stamp <= self.stamp() {
             return None;
--- a/crates/pointvane-node/src/fleet.rs
+++ b/crates/pointvane-node/src/fleet.rs
@@ -32,7 +32,7 @@
 ///
 /// Two, so that one may fail; docs/MEASUREMENTS.md, "The way there", kept them with batches of changes.
 const WATCHERS: usize = 2;
-/// Nodes that look at the platform when no watcher is heard. Not measured at other values.
+/// Nodes that read the platform when no watcher is heard. Not measured at other values.
 const STANDBYS: usize = 4;
 /// What readers are ranked for. A name on the wire: nodes of all versions must rank alike.
 const READER_SUBJECT: &str = "platform";
@@ -103,18 +103,18 @@
         usable.map(member).collect()
     }
 
-    /// Sets what the other nodes are told of this node's readiness.
+    /// Sets what is published of this node's readiness.
     pub fn set_entry(&self, ready: bool, draining: bool) {
         let row = EntryRow { incarnation: self.incarnation, requests: 0, leaving: draining };
         self.membership.borrow_mut().set_entry((ready || draining).then_some(row));
     }
 
-    /// Tells the other nodes that this one leaves.
+    /// Announces that this node leaves.
     pub fn leave(&self) -> Vec<Action> {
         self.membership.borrow_mut().leave()
     }
 
-    /// Lets time pass: tells how far this node has read, and pings others.
+    /// Lets time pass: publishes how far this node has read, and pings others.
     pub fn tick(&self, revision: u64, now_us: u64) -> Vec<Action> {
         let configuration = Stamp { revision, index: 0 };
         let mut membership = self.membership.borrow_mut();
--- a/crates/pointvane-node/src/gossip_loop.rs
+++ b/crates/pointvane-node/src/gossip_loop.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Tells the other nodes whether callers may be sent here.
+    /// Publishes to the other nodes whether callers may be sent here.
     pub fn publish_entry(&self) {
         self.fleet.set_entry(self.is_ready(), !self.lifecycle.is_running());
     }
--- a/crates/pointvane-node/src/lib.rs
+++ b/crates/pointvane-node/src/lib.rs
@@ -1,8 +1,8 @@
-//! One process a VM: it takes callers' requests, tells callers which VMs to use, says whether it is ready, and
-//! keeps in touch with the other nodes.
+//! The node: one process a VM that forwards callers' requests, answers lookups in the directory and readiness checks, and
+//! exchanges state with the other nodes.
 //!
 //! Decisions are those of `pointvane-dispatch` and `pointvane-mesh`; this crate is the shell around them, on one
-//! thread. The platform's manner of speaking comes in through [`pointvane_core::PlatformAdapter`].
+//! thread. The platform's formats come in through [`pointvane_core::PlatformAdapter`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/pointvane-node/src/publication.rs
+++ b/crates/pointvane-node/src/publication.rs
@@ -1,4 +1,4 @@
-//! Puts in force what the platform or other nodes tell.
+//! Puts changes of the platform in force, and records load reports of upstreams.
 
 use {
     crate::node::Node,
--- a/crates/pointvane-node/src/settings.rs
+++ b/crates/pointvane-node/src/settings.rs
@@ -11,7 +11,7 @@
 pub struct NodeSettings {
     /// Unique in the fleet.
     pub name: Name,
-    /// Where the VM stands.
+    /// The data centre that the VM is in.
     pub data_centre: Name,
     /// Whether the whole fleet starts for the first time, so that no other node knows anything yet.
     pub first_start: bool,
--- a/crates/pointvane-node/src/stop.rs
+++ b/crates/pointvane-node/src/stop.rs
@@ -14,7 +14,7 @@
 const DRAINING_SHARE: f64 = 0.45;
 /// Time kept free before the platform would kill the process. Not measured.
 const RESERVE: Duration = Duration::from_millis(300);
-/// Time between two looks at the open connections.
+/// Time between two checks for open connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Stops as planned; returns when no connection is open or the grace period is nearly over.
