--- a/crates/pointvane-config/src/fleet_file.rs
+++ b/crates/pointvane-config/src/fleet_file.rs
@@ -3,8 +3,9 @@
 use {
     crate::{
         configuration::{Configuration, FleetLimits, Service},
+        document::Document,
         fault::{Fault, Faults},
-        reader::{Document, Section},
+        section::Section,
         service_file::read_service,
     },
     pointvane_core::Name,
--- a/crates/pointvane-config/src/lib.rs
+++ b/crates/pointvane-config/src/lib.rs
@@ -6,19 +6,20 @@
 
 mod configuration;
 mod diff;
+mod document;
 mod fault;
+mod file;
 mod fleet_file;
 mod node_options;
 mod pack;
-mod reader;
+mod section;
 mod service_file;
+mod service_options;
 mod settings;
+mod settings_file;
 
 pub use {
-    configuration::{
-        AdmissionOptions, Configuration, EjectionOptions, FleetLimits, HedgeOptions, LoadOptions, Policy,
-        RetryOptions, Route, Service, Upstream,
-    },
+    configuration::{Configuration, FleetLimits, Policy, Route, Service, Upstream},
     diff::{Difference, diff},
     fault::{Fault, Faults},
     fleet_file::read_directory,
@@ -27,8 +28,10 @@
         RepeatOptions, read_node_options,
     },
     pack::{PACKED_LIMIT_BYTES, PackError, Packed, pack, unpack},
+    service_options::{AdmissionOptions, EjectionOptions, HedgeOptions, LoadOptions, RetryOptions},
     settings::{
         ControlSettings, EntrySettings, LocateSettings, LogFormat, LogLevel, LogSettings, MeshSettings,
-        OperatorSettings, PlatformSettings, SETTING_KEYS, Settings, VmSettings, read_settings,
+        OperatorSettings, PlatformSettings, Settings, VmSettings,
     },
+    settings_file::{SETTING_KEYS, read_settings},
 };
--- a/crates/pointvane-config/src/node_options.rs
+++ b/crates/pointvane-config/src/node_options.rs
@@ -1,10 +1,7 @@
 //! Options of a node: how it chooses, admits, repeats and writes lines. All have defaults; no file is needed.
 
 use {
-    crate::{
-        fault::Faults,
-        reader::{Section, read_file},
-    },
+    crate::{fault::Faults, file::read_file, section::Section},
     std::path::Path,
 };
 
--- a/crates/pointvane-config/src/reader.rs
+++ b/crates/pointvane-config/src/section.rs
@@ -1,72 +1,14 @@
-//! Typed access to a TOML document that collects every fault instead of stopping at the first.
+//! Typed access to one table of a document; what is wrong with a key becomes a fault of the document.
 
 use {
-    crate::fault::{Fault, Faults},
-    pointvane_core::Name,
-    std::{cell::RefCell, fs, ops::RangeInclusive, path::Path, str::FromStr},
+    crate::document::Document,
+    std::{ops::RangeInclusive, str::FromStr},
     toml::{
         Spanned,
         de::{DeTable, DeValue},
     },
 };
 
-/// Reads a file with one function for its whole document.
-///
-/// # Errors
-/// All its faults.
-pub fn read_file<T>(path: &Path, read: impl FnOnce(&Section<'_, '_>) -> T) -> Result<T, Faults> {
-    let file = path.to_string_lossy();
-    let Ok(text) = fs::read_to_string(path) else {
-        return Err(Faults(vec![Fault {
-            file: file.as_ref().into(),
-            line: 1,
-            key: "(file)".into(),
-            problem: "cannot be read".into(),
-            remedy: "give the path of a readable TOML file".into(),
-        }]));
-    };
-    let document = Document::new(&file, &text);
-    let table = document.parse();
-    let value = table.as_ref().map(|table| read(&Section::top(&document, table)));
-    document.into_faults().or(value)?.ok_or_else(Faults::default)
-}
-
-/// A document being read, with the faults found so far.
-pub struct Document<'t> {
-    file: Name,
-    text: &'t str,
-    faults: RefCell<Faults>,
-}
-
-impl<'t> Document<'t> {
-    /// A document with no faults yet.
-    pub fn new(file: &str, text: &'t str) -> Self {
-        Self { file: file.into(), text, faults: RefCell::default() }
-    }
-
-    /// Parses the text; a syntax error becomes the document's only fault, as nothing else can be read.
-    pub fn parse(&self) -> Option<Spanned<DeTable<'t>>> {
-        let table = DeTable::parse(self.text).map_err(|error| {
-            let start = error.span().map_or(0, |span| span.start);
-            let problem = error.message().to_owned();
-            self.fault(start, "(syntax)", problem, "write valid TOML here".into());
-        });
-        table.ok()
-    }
-
-    /// Notes a fault at a byte offset.
-    pub fn fault(&self, offset: usize, key: &str, problem: String, remedy: String) {
-        let line = 1 + self.text[..offset.min(self.text.len())].matches('\n').count();
-        let fault = Fault { file: self.file.clone(), line, key: key.into(), problem, remedy };
-        self.faults.borrow_mut().0.push(fault);
-    }
-
-    /// The faults found.
-    pub fn into_faults(self) -> Faults {
-        self.faults.into_inner()
-    }
-}
-
 /// One table of a document.
 pub struct Section<'d, 't> {
     document: &'d Document<'t>,
--- a/crates/pointvane-config/src/service_file.rs
+++ b/crates/pointvane-config/src/service_file.rs
@@ -1,11 +1,9 @@
 //! Reading of one service's file.
 
 use crate::{
-    configuration::{
-        AdmissionOptions, EjectionOptions, HedgeOptions, LoadOptions, Policy, RetryOptions, Route, Service,
-        Upstream,
-    },
-    reader::Section,
+    configuration::{Policy, Route, Service, Upstream},
+    section::Section,
+    service_options::{AdmissionOptions, EjectionOptions, HedgeOptions, LoadOptions, RetryOptions},
 };
 
 /// Deadline of a service whose file names none, in milliseconds. Not measured.
