--- /dev/null
+++ b/standins/tests/users_platform/node.rs
@@ -0,0 +1,166 @@
+//! A node as a real process.
+
+use {
+    super::{
+        eventually,
+        message::{Message, call, request_head},
+        own_address,
+        store::Store,
+    },
+    std::{
+        fs, io,
+        net::{Ipv4Addr, SocketAddr, TcpStream},
+        path::PathBuf,
+        process::{Child, Command, Stdio},
+    },
+};
+
+const TRAFFIC_PORT: u16 = 8_144;
+const READY_PORT: u16 = 8_140;
+const DIRECTORY_PORT: u16 = 8_143;
+
+/// The program, as `cargo test --workspace` or `cargo build --workspace` built it last.
+fn program() -> PathBuf {
+    let tests = std::env::current_exe().unwrap();
+    tests.parent().unwrap().parent().unwrap().join("pointvane-platform-node")
+}
+
+/// What becomes of the lines that a node writes.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum Log {
+    /// They go to a file.
+    File,
+    /// All lines go to a pipe that nobody reads.
+    NeverRead,
+}
+
+/// A node as a real process; it is killed when dropped.
+pub struct NodeProcess {
+    pub ip: Ipv4Addr,
+    child: Child,
+    settings: PathBuf,
+    pub output: PathBuf,
+}
+
+/// Options by which each request is told in lines.
+const ALL_LINES: &str = "[lines]\nwell_every = 1\nwrong_per_s = 100000\nbeliefs_per_s = 100000\n";
+
+impl NodeProcess {
+    pub fn start(store: &Store) -> Self {
+        Self::start_in(store, &[])
+    }
+
+    pub fn start_in(store: &Store, seeds: &[Ipv4Addr]) -> Self {
+        Self::start_with(store, seeds, Log::File)
+    }
+
+    pub fn start_with(store: &Store, seeds: &[Ipv4Addr], log: Log) -> Self {
+        Self::start_at(own_address(), store.address, seeds, log)
+    }
+
+    /// A node at an address; it may have run there before.
+    pub fn start_at(ip: Ipv4Addr, store: SocketAddr, seeds: &[Ipv4Addr], log: Log) -> Self {
+        let folder = std::env::temp_dir().join(format!("pointvane-{ip}"));
+        fs::create_dir_all(&folder).unwrap();
+        let settings = folder.join("boot.toml");
+        let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}:8146\"")).collect();
+        let text = format!(
+            r#"[self]
+node-name = "node-{ip}"
+ip = "{ip}"
+zone = "one"
+[network]
+internal-ports = [7660, 7675]
+seeds = [{}]
+[network.listen]
+front = "{ip}:{TRAFFIC_PORT}"
+ready = "{ip}:{READY_PORT}"
+directory = "{ip}:{DIRECTORY_PORT}"
+[platform.platform]
+address = "{}"
+[terms.bounds]
+grace-s = 3
+budget-ratio = 0.2
+budget-slack = 200
+probes-per-s = 1000
+ttl_max_s = 5
+"#,
+            seeds.join(","),
+            store
+        );
+        fs::write(&settings, text).unwrap();
+        let output = folder.join("stdout");
+        let mut command = Command::new(program());
+        command.env("POINTVANE_BOOT", &settings).stderr(Stdio::inherit());
+        match log {
+            Log::File => command.stdout(fs::File::create(&output).unwrap()),
+            Log::NeverRead => {
+                let options = folder.join("options.toml");
+                fs::write(&options, ALL_LINES).unwrap();
+                command.arg("--options").arg(options).stdout(Stdio::piped())
+            }
+        };
+        let node = Self { ip, child: command.spawn().unwrap(), settings, output };
+        eventually(|| TcpStream::connect((ip, READY_PORT)).is_ok());
+        node
+    }
+
+    pub fn until_ready(&self) {
+        eventually(|| self.ready() == 200);
+    }
+
+    pub fn ready(&self) -> u16 {
+        let head = "GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+        call((self.ip, READY_PORT).into(), head).map_or(0, |message| message.status())
+    }
+
+    pub fn directory(&self) -> String {
+        let head = "GET /resolve?name=a&region=r&zone=one HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+        call((self.ip, DIRECTORY_PORT).into(), head)
+            .map_or_else(|_| String::new(), |m| String::from_utf8(m.body).unwrap())
+    }
+
+    pub fn traffic(&self) -> SocketAddr {
+        (self.ip, TRAFFIC_PORT).into()
+    }
+
+    /// One request on a connection of its own.
+    pub fn request(&self, method: &str, path: &str, id: &str, deadline_ms: u64) -> io::Result<Message> {
+        call(self.traffic(), &request_head(method, path, id, deadline_ms))
+    }
+
+    pub fn signal(&self, name: &str) {
+        let status = Command::new("kill").arg(format!("-{name}")).arg(self.child.id().to_string()).status();
+        assert!(status.unwrap().success());
+    }
+
+    /// Whether the process still runs.
+    pub fn is_running(&mut self) -> bool {
+        matches!(self.child.try_wait(), Ok(None))
+    }
+
+    /// Waits for the process to end; its exit code.
+    pub fn ended(&mut self) -> Option<i32> {
+        let mut code = None;
+        eventually(|| match self.child.try_wait() {
+            Ok(Some(status)) => {
+                code = status.code();
+                true
+            }
+            _ => false,
+        });
+        code
+    }
+
+    pub fn lines(&self) -> String {
+        fs::read_to_string(&self.output).unwrap_or_default()
+    }
+}
+
+impl Drop for NodeProcess {
+    fn drop(&mut self) {
+        _ = self.child.kill();
+        _ = self.child.wait();
+        _ = fs::remove_dir_all(self.settings.parent().unwrap());
+    }
+}
--- /dev/null
+++ b/standins/tests/users_platform/store.rs
@@ -0,0 +1,146 @@
+//! A stand-in for the platform's store.
+
+use {
+    super::{
+        HOST,
+        message::{Message, read_message},
+        own_address,
+        upstream::Upstream,
+    },
+    base64::{Engine, engine::general_purpose::STANDARD},
+    std::{
+        io::{self, BufReader, Write},
+        net::{SocketAddr, TcpListener, TcpStream},
+        sync::{Arc, Condvar, Mutex},
+        thread,
+        time::{Duration, Instant},
+    },
+};
+
+/// What the store holds; changes are kept as events.
+#[derive(Default)]
+struct Stored {
+    revision: u64,
+    items: Vec<(String, Vec<u8>, u64)>,
+    events: Vec<(u64, String, Option<Vec<u8>>)>,
+}
+
+/// A stand-in for the platform's store.
+#[derive(Clone)]
+pub struct Store {
+    pub address: SocketAddr,
+    stored: Arc<(Mutex<Stored>, Condvar)>,
+}
+
+impl Store {
+    pub fn start() -> Self {
+        let listener = TcpListener::bind((own_address(), 8_142)).unwrap();
+        let store = Self { address: listener.local_addr().unwrap(), stored: Arc::default() };
+        let served = store.clone();
+        thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let store = served.clone();
+                thread::spawn(move || _ = store.serve(stream));
+            }
+        });
+        store
+    }
+
+    pub fn put(&self, key: &str, value: &str) {
+        let mut stored = self.stored.0.lock().unwrap();
+        stored.revision += 1;
+        let revision = stored.revision;
+        stored.items.retain(|(held, _, _)| held != key);
+        stored.items.push((key.into(), value.into(), revision));
+        stored.events.push((revision, key.into(), Some(value.into())));
+        self.stored.1.notify_all();
+    }
+
+    pub fn remove(&self, key: &str) {
+        let mut stored = self.stored.0.lock().unwrap();
+        stored.revision += 1;
+        let revision = stored.revision;
+        stored.items.retain(|(held, _, _)| held != key);
+        stored.events.push((revision, key.into(), None));
+        self.stored.1.notify_all();
+    }
+
+    /// Publishes a configuration: routes as path, kind, time-out and service.
+    pub fn configure(&self, version: u64, routes: &[(&str, &str, u64, &str)]) {
+        let route = |(path, kind, timeout_ms, service): &(&str, &str, u64, &str)| {
+            format!(
+                r#"{{"name":"r{path}","host":"{HOST}","path-prefix":"{path}","type":"{kind}","timeout-ms":{timeout_ms},"target-latency-ms":200,"priority":1,"service":"{service}","max-attempts":2}}"#
+            )
+        };
+        let routes: Vec<String> = routes.iter().map(route).collect();
+        self.put(
+            "op/config",
+            &format!(
+                r#"{{"version":"{version:08x}","routes":[{}],"services":[{{"name":"app","health-path":"/health","max-connections":100,"protocol":"h1","tls":false}}],"limits":{{"max-header-bytes":16384,"max-body-bytes":67108864,"header-timeout-ms":3000,"idle-timeout-ms":15000}}}}"#,
+                routes.join(",")
+            ),
+        );
+    }
+
+    pub fn list(&self, upstream: &Upstream, state: &str, sequence: u64) {
+        self.list_at(upstream, upstream.address, state, sequence);
+    }
+
+    /// Lists an upstream that is reached at another address than its own.
+    pub fn list_at(&self, upstream: &Upstream, address: SocketAddr, state: &str, sequence: u64) {
+        self.put(
+            &format!("servers/{}", upstream.id),
+            &format!(
+                r#"{{"address":"{address}","info":{{"service":"app","version":"v1","zone":"one","slots":3}},"status":{{"state":"{state}","sequence":{sequence},"warmup-left-ms":0}}}}"#
+            ),
+        );
+    }
+
+    fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
+        stream.set_nodelay(true)?;
+        let mut reader = BufReader::new(stream.try_clone()?);
+        loop {
+            let request = read_message(&mut reader)?;
+            let body = self.answer(request.target());
+            write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len())?;
+        }
+    }
+
+    fn answer(&self, target: &str) -> String {
+        let query = |name: &str| {
+            let pairs = target.split_once('?').map_or("", |(_, query)| query).split('&');
+            pairs
+                .filter_map(|pair| pair.split_once('='))
+                .find(|(key, _)| *key == name)
+                .map(|(_, value)| value.to_owned())
+        };
+        let number = |name: &str| query(name).and_then(|value| value.parse::<u64>().ok()).unwrap_or_default();
+        let (lock, changed) = &*self.stored;
+        let mut stored = lock.lock().unwrap();
+        if target.starts_with("/kv-range") {
+            let items = stored.items.iter().map(|(key, value, revision)| item(key, Some(value), *revision));
+            let items: Vec<String> = items.collect();
+            return format!(r#"{{"items":[{}],"more":false,"at":{}}}"#, items.join(","), stored.revision);
+        }
+        let after = number("after");
+        let until = Instant::now() + Duration::from_millis(number("wait-ms"));
+        while stored.revision <= after && Instant::now() < until {
+            let left = until.saturating_duration_since(Instant::now());
+            stored = changed.wait_timeout(stored, left).unwrap().0;
+        }
+        let events = stored.events.iter().filter(|(revision, _, _)| *revision > after);
+        let events: Vec<String> =
+            events.map(|(revision, key, value)| item(key, value.as_ref(), *revision)).collect();
+        format!(r#"{{"events":[{}],"at":{}}}"#, events.join(","), stored.revision)
+    }
+}
+
+fn item(key: &str, value: Option<&Vec<u8>>, revision: u64) -> String {
+    match value {
+        Some(value) => {
+            let value = STANDARD.encode(value);
+            format!(r#"{{"tls-key":"{key}","value":"{value}","revision":{revision},"made":1,"lease":0}}"#)
+        }
+        None => format!(r#"{{"tls-key":"{key}","revision":{revision},"gone":true}}"#),
+    }
+}
