--- a/crates/pointvane-balance/src/admission.rs
+++ b/crates/pointvane-balance/src/admission.rs
@@ -9,9 +9,9 @@
     std::collections::VecDeque,
 };
 
-/// Share of each new interval between starts in the running mean.
+/// Weight of the newest interval between starts in the running mean. Not measured.
 const INTERVAL_SHARE: f32 = 0.05;
-/// Longest interval between two starts that says something of the rate.
+/// Longest interval between two starts that counts for the rate. Not measured.
 const INTERVAL_MAX_US: u64 = 1_000 * US_PER_MS;
 
 /// A request that asks to be started.
--- a/crates/pointvane-balance/src/chooser.rs
+++ b/crates/pointvane-balance/src/chooser.rs
@@ -6,7 +6,7 @@
     rand::{Rng, rngs::SmallRng},
 };
 
-/// Draws beyond the wanted number of candidates before all upstreams are looked at.
+/// Draws beyond the wanted number of candidates before all upstreams are considered. Not measured.
 const EXTRA_DRAWS: usize = 4;
 
 /// Chooses by one policy.
--- a/crates/pointvane-balance/src/estimate.rs
+++ b/crates/pointvane-balance/src/estimate.rs
@@ -1,12 +1,12 @@
 //! An estimate of the requests that other entry VMs hold at an upstream.
 //!
 //! Source: totals that the upstream reports, seen here or by a peer. Trust in them decays with age towards the
-//! service's mean, so an old word neither attracts nor repels work.
+//! service's mean, so an old observation neither attracts nor repels work.
 
-/// Share of each new value in a running mean.
+/// Weight of the newest value in a running mean. Not measured.
 const MEAN_SHARE: f32 = 0.02;
 
-/// Requests of others at one upstream, as last heard.
+/// Requests of others at one upstream, as last observed.
 #[derive(Clone, Debug, Default)]
 pub struct OthersEstimate {
     requests: f32,
--- a/crates/pointvane-balance/src/service.rs
+++ b/crates/pointvane-balance/src/service.rs
@@ -1,4 +1,6 @@
-//! Decisions for one service at one entry VM.
+//! Decisions for one service at one entry VM: which upstream a request goes to, whether it waits or is refused.
+//!
+//! Owns what is known of the service's upstreams, the queue and the budgets. Of the three programs alone.
 
 use {
     crate::{
@@ -15,13 +17,14 @@
 };
 
 mod extra;
-mod news;
+mod observations;
 mod pick;
 mod probe;
 mod result;
 mod summary;
+mod upstreams;
 
-use pick::NoPick;
+use {pick::NoPick, upstreams::Record};
 pub use {
     result::{AttemptEnd, AttemptResult},
     summary::UpstreamSummary,
@@ -76,21 +79,6 @@
     },
 }
 
-/// One upstream, with what is kept beside its state.
-#[derive(Debug)]
-struct Record {
-    probes: TokenBucket,
-    probed_at_us: Option<u64>,
-    /// No longer in the configuration; kept while requests are in flight.
-    retired: bool,
-    /// When a total was last seen in an answer to this entry VM.
-    reported_at_us: u64,
-    /// When the load of this upstream was last told to peers.
-    shared_at_us: u64,
-    /// When this entry VM last started a request there.
-    started_at_us: u64,
-}
-
 /// Decides for one service at one entry VM. `W` is the shell's handle of a request.
 #[derive(Debug)]
 pub struct ServiceBalancer<W> {
@@ -138,7 +126,7 @@
         balancer
     }
 
-    /// Takes a new configuration of the service; what is in flight or waits is kept.
+    /// Puts a new configuration of the service in force; what is in flight or waits is kept.
     pub fn configure(&mut self, service: &Service, limits: &FleetLimits, now_us: u64) {
         self.service = service.clone();
         self.limits = limits.clone();
@@ -148,46 +136,6 @@
         self.place_upstreams(now_us, Health::cold);
     }
 
-    fn place_upstreams(&mut self, now_us: u64, health: impl Fn(u64) -> Health) {
-        for (state, record) in self.upstreams.iter().zip(&mut self.records) {
-            record.retired = !self.service.upstreams.iter().any(|u| same_process(u, &state.upstream));
-        }
-        let wanted = self.service.upstreams.clone();
-        let places = wanted.into_iter().map(|upstream| self.place(upstream, health(now_us), now_us));
-        self.by_position = places.collect();
-    }
-
-    /// The index of an upstream: its old one, that of a retired and empty one, or a new one.
-    fn place(&mut self, upstream: pointvane_config::Upstream, health: Health, now_us: u64) -> usize {
-        if let Some(index) = self.upstreams.iter().position(|s| same_process(&s.upstream, &upstream)) {
-            self.upstreams[index].upstream = upstream;
-            return index;
-        }
-        let share_per_s = self.service.load.probes_per_s / f64::from(self.limits.entry_vms_max);
-        let record = Record {
-            probes: TokenBucket::timed(share_per_s, PROBE_TOKENS_MAX, now_us),
-            probed_at_us: None,
-            retired: false,
-            reported_at_us: 0,
-            shared_at_us: 0,
-            started_at_us: 0,
-        };
-        let state = UpstreamView::new(upstream, health);
-        let free = (0..self.records.len()).find(|&i| self.records[i].retired && self.upstreams[i].own == 0);
-        match free {
-            Some(index) => {
-                self.upstreams[index] = state;
-                self.records[index] = record;
-                index
-            }
-            None => {
-                self.upstreams.push(state);
-                self.records.push(record);
-                self.upstreams.len() - 1
-            }
-        }
-    }
-
     /// The configuration of the service.
     pub fn service(&self) -> &Service {
         &self.service
@@ -248,7 +196,7 @@
         }
     }
 
-    /// Seconds after which a refused caller should come back, spread so that callers don't return together.
+    /// Seconds after which a refused caller should retry, random so that callers don't return together.
     pub fn retry_after_s(&mut self) -> u64 {
         self.rng.random_range(1..=RETRY_AFTER_S_MAX)
     }
@@ -263,7 +211,3 @@
         self.admission.len()
     }
 }
-
-fn same_process(a: &pointvane_config::Upstream, b: &pointvane_config::Upstream) -> bool {
-    a.name == b.name && a.address == b.address
-}
--- a/crates/pointvane-balance/src/service/news.rs
+++ b/crates/pointvane-balance/src/service/observations.rs
@@ -1,27 +1,27 @@
-//! What one entry VM tells the others of a service's load, and what it makes of theirs.
+//! Observations of a service's load: what one entry VM sends to the others, and what it makes of theirs.
 
 use {
     super::ServiceBalancer,
     pointvane_core::{Observation, US_PER_MS},
 };
 
-/// Age beyond which a word about leaving is no longer passed on.
+/// Age beyond which a sign of leaving is no longer passed on. Not measured.
 const LEAVING_AGE_MAX_US: u64 = 10_000 * US_PER_MS;
-/// Time between two transmissions of the same word about leaving.
+/// Time between two transmissions of the same sign of leaving. Not measured.
 const LEAVING_AGAIN_US: u64 = 200 * US_PER_MS;
 
 impl<W> ServiceBalancer<W> {
-    /// At most `count_max` observations worth telling peers: words about leaving first, then the newest.
-    pub fn news(&mut self, count_max: usize, now_us: u64) -> Vec<Observation> {
+    /// At most `count_max` observations that peers lack: signs of leaving first, then the newest.
+    pub fn observations(&mut self, count_max: usize, now_us: u64) -> Vec<Observation> {
         let mut found: Vec<(u64, u16)> = (0..self.by_position.len())
             .filter_map(|position| Some((self.urgency(position, now_us)?, position as u16)))
             .collect();
         found.sort_unstable_by(|a, b| b.cmp(a));
         found.truncate(count_max);
-        found.into_iter().map(|(_, position)| self.tell(position, now_us)).collect()
+        found.into_iter().map(|(_, position)| self.observation(position, now_us)).collect()
     }
 
-    /// How much the word about an upstream is worth telling; none if there is nothing new.
+    /// How urgent the observation of an upstream is; none if there is nothing new.
     fn urgency(&self, position: usize, now_us: u64) -> Option<u64> {
         let index = self.by_position[position];
         let (state, record) = (&self.upstreams[index], &self.records[index]);
@@ -33,7 +33,7 @@
         (record.reported_at_us > record.shared_at_us).then_some(record.reported_at_us)
     }
 
-    fn tell(&mut self, position: u16, now_us: u64) -> Observation {
+    fn observation(&mut self, position: u16, now_us: u64) -> Observation {
         let index = self.by_position[usize::from(position)];
         let (state, record) = (&self.upstreams[index], &mut self.records[index]);
         let total = f32::from(state.own) + state.others.at(now_us, f32::MAX, 0.0);
--- a/crates/pointvane-balance/src/service/probe.rs
+++ b/crates/pointvane-balance/src/service/probe.rs
@@ -2,9 +2,9 @@
 
 use {super::ServiceBalancer, crate::upstream::UpstreamView, pointvane_core::US_PER_MS, rand::Rng};
 
-/// Time after which a probe without an answer may be repeated.
+/// Time after which a probe without an answer may be repeated. Not measured.
 const PROBE_AGAIN_US: u64 = 200 * US_PER_MS;
-/// Probes of one service under way at once.
+/// Probes of one service under way at once. Not measured.
 const PROBES_AT_ONCE: usize = 8;
 
 impl<W> ServiceBalancer<W> {
--- a/crates/pointvane-balance/src/service/result.rs
+++ b/crates/pointvane-balance/src/service/result.rs
@@ -31,9 +31,9 @@
     pub report: Option<LoadReport>,
 }
 
-/// Share of each new answer time in the service's running mean.
+/// Weight of the newest answer time in the service's running mean. Not measured.
 const LATENCY_SHARE: f32 = 0.02;
-/// Time after which a request that was started has surely reached its upstream.
+/// Time after which a request that was started has reached its upstream. Not measured.
 const ARRIVED_US: u64 = 5 * US_PER_MS;
 
 impl<W> ServiceBalancer<W> {
--- a/crates/pointvane-balance/src/upstream.rs
+++ b/crates/pointvane-balance/src/upstream.rs
@@ -10,17 +10,17 @@
     pointvane_core::US_PER_MS,
 };
 
-/// Share of each new answer time in the running mean.
+/// Weight of the newest answer time in the running mean. Not measured.
 const LATENCY_SHARE: f32 = 0.1;
-/// Time in which half of an upstream's slowness is forgotten.
+/// Age at which half of an upstream's slowness is forgotten. Not measured.
 const SLOWNESS_HALF_LIFE_US: f32 = (300 * US_PER_MS) as f32;
 /// Largest slowness that one answer shows, as a multiple of the service's mean. Not measured.
 const SLOWNESS_MAX: f32 = 8.0;
-/// How much a failing upstream is made to look loaded.
+/// What a failure rate of 1 adds to the factor on the score. Not measured: failures have to weigh like load.
 const FAILURE_WEIGHT: f32 = 10.0;
-/// Share of its limit that an upstream keeps when it sheds a request.
+/// Share of its limit that an upstream keeps when it sheds a request. Not measured.
 const SHED_FACTOR: f32 = 0.7;
-/// Growth of that share with each success.
+/// Growth of that share with each success. Not measured.
 const SHED_RECOVERY: f32 = 0.02;
 
 /// All that one entry VM knows of one upstream.
@@ -57,7 +57,7 @@
 }
 
 impl UpstreamView {
-    /// Knowledge of an upstream nothing was heard of.
+    /// An upstream of which nothing is known yet.
     pub fn new(upstream: Upstream, health: Health) -> Self {
         Self {
             upstream,
--- a/crates/pointvane-balance/tests/service.rs
+++ b/crates/pointvane-balance/tests/service.rs
@@ -137,7 +137,7 @@
 fn an_older_word_of_staying_does_not_overtake_a_later_word_of_leaving() {
     let mut teller = Bench::new(&service(1));
     teller.pass_ms(1);
-    let staying = teller.balancer.news(10, teller.now_us);
+    let staying = teller.balancer.observations(10, teller.now_us);
     let mut bench = Bench::new(&service(1));
     bench.pass_ms(50);
     bench.balancer.reported(0, LoadReport { in_flight: 0, draining: true }, bench.now_us);
@@ -155,7 +155,7 @@
     let mut teller = Bench::new(&service(2));
     teller.pass_ms(1);
     teller.balancer.reported(1, LoadReport { in_flight: 3, draining: true }, teller.now_us);
-    let news = teller.balancer.news(1, teller.now_us);
+    let news = teller.balancer.observations(1, teller.now_us);
     expect_that!(news[0].leaving, eq(true));
     let mut bench = Bench::new(&service(2));
     bench.pass_ms(2);
--- a/crates/pointvane-control/src/fetch.rs
+++ b/crates/pointvane-control/src/fetch.rs
@@ -1,7 +1,10 @@
 //! Streams to other controls: values to fetch, rows to exchange, peers to ask after a start.
 
 use {
-    crate::state::{FetchOrder, State, ValueKind},
+    crate::{
+        state::State,
+        value::{FetchOrder, ValueKind},
+    },
     pointvane_core::VmState,
     pointvane_mesh::{FeedHello, FeedRole, MemberRow, Offer, OfferVerdict, PeerAnswer, PeerRequest, codec},
     rand::seq::{IteratorRandom, SliceRandom},
--- a/crates/pointvane-control/src/lib.rs
+++ b/crates/pointvane-control/src/lib.rs
@@ -13,5 +13,7 @@
 mod run;
 mod serve;
 mod state;
+mod status;
+mod value;
 
 pub use {platform::HttpPlatform, run::run};
--- a/crates/pointvane-control/src/reader.rs
+++ b/crates/pointvane-control/src/reader.rs
@@ -1,7 +1,7 @@
 //! Reading of one published value for all VMs, while this VM is one of the readers.
 
 use {
-    crate::state::{State, ValueKind},
+    crate::{state::State, value::ValueKind},
     pointvane_config::unpack,
     pointvane_core::{Name, Platform, PlatformReading},
     pointvane_mesh::{Offer, Stamp, Stored},
--- a/crates/pointvane-control/src/run.rs
+++ b/crates/pointvane-control/src/run.rs
@@ -8,7 +8,7 @@
         platform::HttpPlatform,
         reader::Reader,
         serve::serve,
-        state::{State, ValueKind},
+        {state::State, value::ValueKind},
     },
     eyre::{Result, WrapErr},
     pointvane_config::Settings,
--- a/crates/pointvane-control/src/serve.rs
+++ b/crates/pointvane-control/src/serve.rs
@@ -1,7 +1,7 @@
 //! Streams from this VM's entry and locate, and from other controls.
 
 use {
-    crate::state::{State, ValueKind},
+    crate::{state::State, value::ValueKind},
     pointvane_mesh::{FeedHello, FeedRole, FeedUpdate, MemberRow, PeerAnswer, PeerRequest, Stamp, codec},
     std::{
         io::{self, BufReader},
--- a/crates/pointvane-control/src/state.rs
+++ b/crates/pointvane-control/src/state.rs
@@ -1,15 +1,17 @@
-//! What the threads of the control process share.
+//! What the threads of the control process share: membership and the values held, behind one lock.
 
 use {
-    crate::counters::ControlCounters,
-    pointvane_config::{Settings, unpack},
+    crate::{
+        counters::ControlCounters,
+        value::{FetchOrder, ValueKind, is_whole},
+    },
+    pointvane_config::Settings,
     pointvane_core::{Clock, Incarnation, Name, VmIdentity, VmState},
     pointvane_mesh::{
         Action, EntryReport, EntryRow, GossipMessage, MemberRow, Membership, MembershipOptions, Offer,
-        OfferVerdict, Spread, SpreadAction, Stamp, Stamps, Stored, VmList, choose_readers, codec,
+        OfferVerdict, Spread, SpreadAction, Stamp, Stamps, Stored, choose_readers, codec,
     },
-    pointvane_telemetry::{EventKind, EventLog, MonotonicClock, OperatorState, wall_ms},
-    serde::Serialize,
+    pointvane_telemetry::{EventKind, EventLog, MonotonicClock, wall_ms},
     std::{
         net::{SocketAddr, UdpSocket},
         sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError, mpsc},
@@ -17,42 +19,14 @@
     },
 };
 
-/// Which published value.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ValueKind {
-    /// The packed configuration.
-    Configuration,
-    /// The list of live and leaving VMs.
-    VmList,
-}
-
-impl ValueKind {
-    /// The kind's name in metrics.
-    pub const fn as_str(self) -> &'static str {
-        match self {
-            Self::Configuration => "configuration",
-            Self::VmList => "vm-list",
-        }
-    }
-}
-
-/// A value to fetch from a peer.
-#[derive(Clone, Copy, Debug)]
-pub struct FetchOrder {
-    /// Which value.
-    pub kind: ValueKind,
-    /// The peer's control.
-    pub from: SocketAddr,
-}
-
 /// What is locked.
 #[derive(Debug)]
 pub struct Core {
     /// Members.
     pub membership: Membership,
-    configuration: Spread,
-    vm_list: Spread,
-    reads_platform: bool,
+    pub(crate) configuration: Spread,
+    pub(crate) vm_list: Spread,
+    pub(crate) reads_platform: bool,
 }
 
 /// The control process.
@@ -72,21 +46,6 @@
     fetches: mpsc::Sender<FetchOrder>,
 }
 
-/// What the operator port shows.
-#[derive(Debug, Serialize)]
-pub struct ControlStatus {
-    /// This life.
-    pub incarnation: Incarnation,
-    /// The configuration in force.
-    pub configuration: Stamp,
-    /// The list of VMs held.
-    pub vm_list: Stamp,
-    /// Whether this VM reads the platform for the others.
-    pub reads_platform: bool,
-    /// All VMs as known here, this one first.
-    pub members: Vec<MemberRow>,
-}
-
 impl State {
     /// A control that knows only itself.
     pub fn new(
@@ -230,7 +189,7 @@
         self.changed.notify_all();
     }
 
-    /// Takes what this VM's entry tells, or that it is gone.
+    /// Takes a report of this VM's entry; none when it is gone.
     pub fn entry_told(&self, report: Option<EntryReport>) {
         let row = report.map(|report| EntryRow {
             incarnation: report.incarnation,
@@ -321,21 +280,6 @@
     }
 }
 
-impl OperatorState for State {
-    type Status = ControlStatus;
-
-    fn status(&self) -> ControlStatus {
-        let core = self.lock();
-        ControlStatus {
-            incarnation: core.membership.me().identity.incarnation,
-            configuration: core.configuration.stamp(),
-            vm_list: core.vm_list.stamp(),
-            reads_platform: core.reads_platform,
-            members: core.membership.rows().cloned().collect(),
-        }
-    }
-}
-
 fn own_row(settings: &Settings) -> MemberRow {
     let vm = &settings.vm;
     let name: Name = vm.name.clone();
@@ -354,12 +298,3 @@
         stamp: Stamp::default(),
     }
 }
-
-fn is_whole(kind: ValueKind, stored: &Stored) -> bool {
-    match kind {
-        ValueKind::Configuration => {
-            unpack(&stored.value).is_ok_and(|packed| packed.configuration.revision == stored.stamp.revision)
-        }
-        ValueKind::VmList => serde_json::from_slice::<VmList>(&stored.value).is_ok(),
-    }
-}
--- a/crates/pointvane-entry/src/exchange.rs
+++ b/crates/pointvane-entry/src/exchange.rs
@@ -70,7 +70,7 @@
     let mut services = Vec::new();
     for position in (first..count).chain(0..first) {
         let service = &routes.services[position];
-        let observations = service.lock().news(left, service.now_us());
+        let observations = service.lock().observations(left, service.now_us());
         left -= observations.len();
         if !observations.is_empty() {
             services.push(ServiceLoad { position: position as u16, observations });
--- a/crates/pointvane-entry/src/forward.rs
+++ b/crates/pointvane-entry/src/forward.rs
@@ -9,7 +9,7 @@
         answer::strip_hop_by_hop,
         body::UpstreamBody,
         classify::Classified,
-        connections::{Connections, SendError},
+        connections::{Connection, Connections, SendError},
         counters::EntryCounters,
         request_body::RequestBody,
         service::Attempt,
@@ -21,6 +21,9 @@
     tokio::time::{Instant, sleep_until, timeout_at},
 };
 
+/// Longest time for a body that streams under no deadline: a day. Not measured: only a bound.
+const STREAM_TIME_MAX: Duration = Duration::from_secs(86_400);
+
 /// A request on its way, with what is needed to send it more than once.
 #[derive(Debug)]
 pub struct Outgoing<'r> {
@@ -66,7 +69,7 @@
 
     /// The deadline holds for an answer's head; a body that streams may take longer unless the caller said so.
     pub fn give_up_at(&self, streams: bool) -> Instant {
-        let far = Duration::from_secs(86_400);
+        let far = STREAM_TIME_MAX;
         let left = Duration::from_micros(self.left_us());
         Instant::now() + if streams && !self.request.deadline_named { far } else { left }
     }
@@ -168,10 +171,11 @@
     if matches!(tried, Tried::Answer(_)) { tried } else { other.await }
 }
 
+/// Sends a request to one upstream and waits for the head of its answer.
 async fn try_once(
     outgoing: &Outgoing<'_>,
     body: RequestBody,
-    mut attempt: Attempt,
+    attempt: Attempt,
     connections: &Connections,
     counters: &EntryCounters,
 ) -> Tried {
@@ -197,15 +201,20 @@
             Tried::Broken(ErrorKind::UpstreamBroken)
         }
         Ok(Ok(response)) => {
-            attempt.reported(load_report(&response));
             counters.upstream_took(&outgoing.request.service.name, attempt.age_s());
-            let end = end_of(response.status());
-            let response = response.map(|body| UpstreamBody::new(body, connection, Some(attempt), end));
-            if end == AttemptEnd::Answered { Tried::Answer(response) } else { Tried::BadAnswer(response) }
+            answered(response, attempt, connection)
         }
     }
 }
 
+/// Takes the head of an answer; its body ends the attempt.
+fn answered(response: Response<Incoming>, mut attempt: Attempt, connection: Connection) -> Tried {
+    attempt.reported(load_report(&response));
+    let end = end_of(response.status());
+    let response = response.map(|body| UpstreamBody::new(body, connection, Some(attempt), end));
+    if end == AttemptEnd::Answered { Tried::Answer(response) } else { Tried::BadAnswer(response) }
+}
+
 /// What a status says of the upstream.
 fn end_of(status: StatusCode) -> AttemptEnd {
     match status {
@@ -215,7 +224,7 @@
     }
 }
 
-/// The load report in an answer's head.
+/// The load report in an answer's head; one that cannot be read counts as none, since the answer is good all the same.
 pub fn load_report(response: &Response<Incoming>) -> Option<LoadReport> {
     let value = response.headers().get(header::LOAD)?;
     LoadReport::parse(value.to_str().ok()?)
