--- a/crates/pointvane-entry/src/transitions.rs
+++ b/crates/pointvane-entry/src/transitions.rs
@@ -13,12 +13,12 @@
     /// By service and upstream.
     upstreams: HashMap<(Name, Name), UpstreamStage>,
     /// By service.
-    services: HashMap<Name, ServiceLoad>,
+    services: HashMap<Name, OverloadState>,
 }
 
 /// Whether a service refuses work, as the time line last told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct ServiceLoad {
+struct OverloadState {
     /// Requests refused for overload at the last check.
     refused: u64,
     /// Checks since the last refusal.
@@ -29,7 +29,7 @@
 /// Checks without a refusal after which an overload counts as over. Not measured.
 const QUIET_CHECKS: u32 = 20;
 
-impl ServiceLoad {
+impl OverloadState {
     /// The load at the next check.
     fn next(self, refused: u64) -> Self {
         let quiet_checks = if refused > self.refused { 0 } else { self.quiet_checks.saturating_add(1) };
@@ -61,7 +61,7 @@
     }
 }
 
-fn load_event(service: &Name, before: ServiceLoad, now: ServiceLoad) -> Option<EventKind> {
+fn load_event(service: &Name, before: OverloadState, now: OverloadState) -> Option<EventKind> {
     let service = service.clone();
     match (before.overloaded, now.overloaded) {
         (false, true) => Some(EventKind::OverloadBegan { service }),
--- a/crates/pointvane-locate/src/locate.rs
+++ b/crates/pointvane-locate/src/locate.rs
@@ -1,4 +1,4 @@
-//! The state of the process and the answering of one question.
+//! The state of the process, and the answer to one lookup.
 
 use {
     crate::{
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Answers one question.
+    /// Answers one lookup.
     fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         self.questions.add(1, &[]);
         if request.uri().path() != LOCATE_PATH {
@@ -106,6 +106,7 @@
     }
 
     fn take(&self, value: &[u8], stamp: Stamp) {
+        // The control refuses damaged values and notes them on its time line; here the one before stays in force.
         let Ok(packed) = unpack(value) else { return };
         let mut known = self.lock();
         if stamp <= known.stamp {
--- a/crates/pointvane/src/main.rs
+++ b/crates/pointvane/src/main.rs
@@ -61,11 +61,11 @@
         new: PathBuf,
     },
     /// Show every VM: revision in force, upstreams, members; and which could not be reached.
-    Status(nodes::Fleet),
+    Status(nodes::FleetArgs),
     /// Show the events of all processes as one time line.
     Timeline {
         #[command(flatten)]
-        fleet: nodes::Fleet,
+        fleet: nodes::FleetArgs,
         #[command(flatten)]
         filter: timeline::Filter,
     },
--- a/crates/pointvane/src/nodes.rs
+++ b/crates/pointvane/src/nodes.rs
@@ -15,7 +15,7 @@
 
 /// Which VMs to ask.
 #[derive(clap::Args)]
-pub struct Fleet {
+pub struct FleetArgs {
     /// Operator port of any VM's control; all members it knows are asked as well.
     #[arg(required = true, value_name = "ADDRESS")]
     controls: Vec<SocketAddr>,
@@ -32,34 +32,34 @@
 
 /// What a control tells, as far as it is used here.
 #[derive(Clone, Debug, Deserialize)]
-pub struct ControlStatus {
+pub struct ControlView {
     /// The configuration in force.
-    pub configuration: Stamp,
+    pub configuration: ConfigurationView,
     /// Whether this VM reads the platform for the others.
     pub reads_platform: bool,
     /// All VMs as known there, its own first.
-    pub members: Vec<Member>,
+    pub members: Vec<MemberView>,
 }
 
 /// Place of a configuration.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Stamp {
+pub struct ConfigurationView {
     /// The operators' revision.
     pub revision: u64,
 }
 
 /// A VM as a control knows it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Member {
+pub struct MemberView {
     /// Who it is.
-    pub identity: Identity,
+    pub identity: IdentityView,
     /// What is believed of it.
     pub state: String,
 }
 
 /// Who a VM is.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Identity {
+pub struct IdentityView {
     /// Its name.
     pub name: String,
     /// Its data centre.
@@ -88,11 +88,10 @@
     }
 }
 
-impl Fleet {
+impl FleetArgs {
     /// The operator ports of the controls of all VMs that any of the given ones knows.
     pub fn controls(&self, asker: &Asker) -> Vec<SocketAddr> {
-        let told =
-            self.controls.iter().filter_map(|control| asker.json::<ControlStatus>(*control, "/status"));
+        let told = self.controls.iter().filter_map(|control| asker.json::<ControlView>(*control, "/status"));
         let members = told.flat_map(|status| status.members).filter(|member| member.state != "Dead");
         let known = members.map(|member| SocketAddr::new(member.identity.address, self.control_port));
         let mut controls: Vec<_> = known.chain(self.controls.iter().copied()).collect();
--- a/crates/pointvane/src/status.rs
+++ b/crates/pointvane/src/status.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         Output, beside,
-        nodes::{Asker, ControlStatus, Fleet},
+        nodes::{Asker, ControlView, FleetArgs},
     },
     serde::{Deserialize, Serialize},
     std::{net::SocketAddr, process::ExitCode},
@@ -14,23 +14,23 @@
 
 /// What an entry tells, as far as it is shown.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct EntryStatus {
+struct EntryView {
     revision: u64,
     stopping: bool,
     keys: usize,
-    services: Vec<ServiceStatus>,
+    services: Vec<ServiceView>,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct ServiceStatus {
+struct ServiceView {
     name: String,
     in_flight: u32,
     waiting: usize,
-    upstreams: Vec<UpstreamStatus>,
+    upstreams: Vec<UpstreamView>,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct UpstreamStatus {
+struct UpstreamView {
     name: String,
     own: u16,
     total: f32,
@@ -48,11 +48,11 @@
     revision: Option<u64>,
     reads_platform: bool,
     members: usize,
-    entry: Option<EntryStatus>,
+    entry: Option<EntryView>,
 }
 
 /// Shows all VMs; the exit code is 1 if one could not be reached.
-pub fn show(fleet: &Fleet, output: Output) -> ExitCode {
+pub fn show(fleet: &FleetArgs, output: Output) -> ExitCode {
     let asker = Asker::default();
     let rows: Vec<_> =
         fleet.controls(&asker).into_iter().map(|control| row(fleet, &asker, control)).collect();
@@ -64,8 +64,8 @@
     if complete { ExitCode::SUCCESS } else { ExitCode::from(INCOMPLETE) }
 }
 
-fn row(fleet: &Fleet, asker: &Asker, control: SocketAddr) -> Row {
-    let status = asker.json::<ControlStatus>(control, "/status");
+fn row(fleet: &FleetArgs, asker: &Asker, control: SocketAddr) -> Row {
+    let status = asker.json::<ControlView>(control, "/status");
     let me = status.as_ref().and_then(|status| status.members.first()).map(|member| member.identity.clone());
     Row {
         address: control,
@@ -94,7 +94,7 @@
     }
 }
 
-fn print_upstream(upstream: &UpstreamStatus) {
+fn print_upstream(upstream: &UpstreamView) {
     let state = match (upstream.leaving, upstream.ejected) {
         (true, _) => "leaving",
         (false, true) => "ejected",
--- a/crates/pointvane/src/timeline.rs
+++ b/crates/pointvane/src/timeline.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         Output, beside,
-        nodes::{Asker, Fleet},
+        nodes::{Asker, FleetArgs},
     },
     pointvane_telemetry::{Event, EventPage, wall_ms},
     std::{net::SocketAddr, process::ExitCode},
@@ -42,7 +42,7 @@
 }
 
 /// Shows the time line; the exit code is 1 if a port could not be reached.
-pub fn show(fleet: &Fleet, filter: &Filter, output: Output) -> ExitCode {
+pub fn show(fleet: &FleetArgs, filter: &Filter, output: Output) -> ExitCode {
     let asker = Asker::default();
     let mut line = TimelineLine::default();
     for control in fleet.controls(&asker) {
