--- a/crates/pointvane-core/src/traits.rs
+++ b/crates/pointvane-core/src/traits.rs
@@ -31,6 +31,7 @@
             let (name, value) = field.trim().split_once('=')?;
             match name {
                 "named_metrics.in_flight" => {
+                    // A report without its main figure is none.
                     report.in_flight = value.parse().ok()?;
                     seen = true;
                 }
--- a/crates/pointvane-node/src/attempt.rs
+++ b/crates/pointvane-node/src/attempt.rs
@@ -66,6 +66,7 @@
     record_outcome(&node, &request, key, &snapshot, outcome, latency_ms);
     let times = AttemptTimes { search_ms: sent_at_us.saturating_sub(began_us) / US_PER_MS, latency_ms };
     report(&node, &request, goal, &snapshot, outcome, &times);
+    // Without an answer the outcome, recorded above, is all there is.
     AttemptReport { end: AttemptEnd::Tried(outcome), answer: answer.ok() }
 }
 
--- a/crates/pointvane-node/src/directory.rs
+++ b/crates/pointvane-node/src/directory.rs
@@ -27,6 +27,7 @@
     node: Rc<Node<A>>,
     request: Request<Incoming>,
 ) -> Result<Response<RelayBody>, Infallible> {
+    // Without a query the caller names no data centre.
     let query = request.uri().query().unwrap_or_default();
     let Some(question) = node.adapter.directory_question(request.uri().path(), query) else {
         return Ok(short(StatusCode::NOT_FOUND, TEXT, String::new()));
--- a/crates/pointvane-node/src/exchange.rs
+++ b/crates/pointvane-node/src/exchange.rs
@@ -97,6 +97,7 @@
 /// Reads the body of an answer, or its first part if it is long.
 async fn read_body(answer: Answer, keepable: bool) -> Result<Response<RelayBody>, AttemptOutcome> {
     let Answer { head, body, connection } = answer;
+    // How it broke off makes no difference; the attempt is counted and logged as broken.
     let gathered = gather(body, ANSWER_GATHERED_BYTES).await.map_err(|_| AttemptOutcome::Broken)?;
     let body = match gathered.rest {
         Some(_) => RelayBody::streamed(gathered, Some(connection)),
@@ -131,6 +132,7 @@
     let left_ms = request.answer_by_us.saturating_sub(now_us) / US_PER_MS;
     headers.insert(node.headers.deadline_ms.clone(), HeaderValue::from(left_ms.max(1)));
     let pool = node.dispatcher.pool();
+    // An id that is no header value cannot be named to the upstream, so nothing is sent there.
     let id = HeaderValue::from_str(pool.get(key)?.id().as_str()).ok()?;
     headers.insert(node.headers.expect_upstream.clone(), id);
     Some(outgoing)
--- a/crates/pointvane-node/src/operator.rs
+++ b/crates/pointvane-node/src/operator.rs
@@ -31,6 +31,7 @@
     node: Rc<Node<A>>,
     request: Request<Incoming>,
 ) -> Result<Response<RelayBody>, Infallible> {
+    // What cannot be written as JSON is answered with 500; all of these types can.
     let (content_type, text) = match request.uri().path() {
         "/metrics" => (TEXT, Some(node.report.metrics.text())),
         "/events" => {
--- a/crates/pointvane-node/src/platform_client.rs
+++ b/crates/pointvane-node/src/platform_client.rs
@@ -47,6 +47,7 @@
             _ => open(address).await?,
         };
         let request = Request::get(target).header(HOST, address.to_string());
+        // The target comes from the adapter; one that is no URI is as bad as an answer that cannot be understood.
         let request = request.body(RelayBody::whole(Bytes::new())).map_err(|_| CallFailure::Malformed)?;
         let exchange = async {
             let (head, body) = sender.send_request(request).await?.into_parts();
--- a/crates/pointvane-node/src/platform_reader.rs
+++ b/crates/pointvane-node/src/platform_reader.rs
@@ -154,6 +154,7 @@
     answer: Result<Bytes, CallFailure>,
     decode: impl Fn(&A, &[u8]) -> Result<ChangePage, MalformedReply>,
 ) -> Option<ChangePage> {
+    // Why it cannot be understood is dropped: whatever it was, the reader reads everything anew, which shows on the time line.
     let page = answer.and_then(|body| decode(&node.adapter, &body).map_err(|_| CallFailure::Malformed));
     match page {
         Ok(mut page) => {
--- a/crates/pointvane-node/src/probe.rs
+++ b/crates/pointvane-node/src/probe.rs
@@ -147,6 +147,8 @@
 }
 
 /// Calls over a kept connection, and over a new one if the upstream had closed that.
+///
+/// None if there is no whole answer, whatever the reason: each counts as a failure of the upstream in `ejection.rs`.
 async fn call(connections: &Connections, address: SocketAddr, path: &Name) -> Option<Response<()>> {
     let connection = connections.get(address, Purpose::Probe).await.ok()?;
     let reused = connection.is_reused();
--- a/crates/pointvane-node/src/request.rs
+++ b/crates/pointvane-node/src/request.rs
@@ -13,6 +13,8 @@
 };
 
 /// Headers that concern one connection only.
+///
+/// The three programs have a list of their own (`pointvane-entry/src/answer.rs`): they drop proxy headers that the node passes on.
 static HOP_HEADERS: [HeaderName; 7] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -65,6 +67,7 @@
 
 /// Takes out the headers that concern one connection only.
 pub fn strip_hop_headers(headers: &mut HeaderMap) {
+    // Names that are no header names cannot be among the headers.
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/pointvane-node/src/traffic.rs
+++ b/crates/pointvane-node/src/traffic.rs
@@ -140,6 +140,7 @@
     if node.dispatcher.routes().version() == 0 {
         return Err(ErrorKind::NotReady.into());
     }
+    // A host that is no text has no route, which the caller is told.
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok()).or_else(|| head.uri.host());
     let routed = node.dispatcher.route(host.unwrap_or_default(), head.uri.path());
     routed.ok_or_else(|| ErrorKind::NoSuchService.into())
@@ -174,6 +175,7 @@
     }
 }
 
+/// An id for a log line; empty if the caller gave none, or one that is no text.
 fn text(id: Option<&HeaderValue>) -> String {
     id.and_then(|id| id.to_str().ok()).unwrap_or_default().into()
 }
