--- a/crates/pointvane-dispatch/src/hedge.rs
+++ b/crates/pointvane-dispatch/src/hedge.rs
@@ -19,8 +19,10 @@
 /// Not measured apart: at most 0.55, so that the second attempt can still meet the target.
 const HEDGE_SHARES: RangeInclusive<f64> = 0.1..=0.55;
 
-/// Time after which a second attempt is considered, in milliseconds, given the quantile of answer times.
-pub fn hedge_after_ms(route: &RouteRule, answer_quantile_ms: f64) -> f64 {
+/// Time after which a second attempt is considered, in milliseconds, given the quantile of answer times; none for work
+/// that may not be repeated.
+pub fn hedge_after_ms(route: &RouteRule, answer_quantile_ms: f64) -> Option<f64> {
     let target_ms = route.target_latency_ms as f64;
-    answer_quantile_ms.clamp(target_ms * HEDGE_SHARES.start(), target_ms * HEDGE_SHARES.end())
+    let after_ms = answer_quantile_ms.clamp(target_ms * HEDGE_SHARES.start(), target_ms * HEDGE_SHARES.end());
+    route.kind.repeatable().then_some(after_ms)
 }
--- a/crates/pointvane-dispatch/src/route_times.rs
+++ b/crates/pointvane-dispatch/src/route_times.rs
@@ -37,8 +37,8 @@
         self.baseline.get_ms()
     }
 
-    /// Time after which a request of the route gets a second attempt, in milliseconds.
-    pub fn hedge_after_ms(&self, route: &RouteRule) -> f64 {
+    /// Time after which a request of the route gets a second attempt, in milliseconds; none if it may not.
+    pub fn hedge_after_ms(&self, route: &RouteRule) -> Option<f64> {
         hedge_after_ms(route, self.answer.get_ms())
     }
 
--- /dev/null
+++ b/crates/pointvane-dispatch/tests/hedging.rs
@@ -0,0 +1,57 @@
+//! When a slow request gets a second attempt.
+
+use {
+    googletest::prelude::*,
+    pointvane_core::{RouteKind, RouteRule},
+    pointvane_dispatch::RouteTimes,
+};
+
+fn route(kind: RouteKind) -> RouteRule {
+    RouteRule {
+        name: "r".into(),
+        host: "h".into(),
+        path_prefix: "/".into(),
+        kind,
+        timeout_ms: 1_000,
+        target_latency_ms: 200,
+        attempts_max: 2,
+        priority: 0,
+        backends: Vec::new(),
+    }
+}
+
+#[gtest]
+fn a_hedge_starts_within_its_shares_of_the_target_however_fast_or_slow_answers_are() {
+    let route = route(RouteKind::Safe);
+    let mut times = RouteTimes::new(&route);
+    expect_that!(
+        times.hedge_after_ms(&route),
+        some(near(100.0, 0.1)),
+        "half of the target before any answer"
+    );
+    (0..1_000).for_each(|_| times.record_answer(1.0));
+    expect_that!(times.hedge_after_ms(&route), some(near(20.0, 0.1)));
+    (0..1_000).for_each(|_| times.record_answer(900.0));
+    expect_that!(times.hedge_after_ms(&route), some(near(110.0, 0.1)));
+}
+
+#[gtest]
+fn work_that_may_not_be_repeated_is_never_hedged() {
+    for kind in [RouteKind::Unsafe, RouteKind::Upload] {
+        let route = route(kind);
+        expect_that!(RouteTimes::new(&route).hedge_after_ms(&route), none());
+    }
+}
+
+#[gtest]
+fn the_baseline_is_the_median_of_uncontended_latencies() {
+    let route = route(RouteKind::Safe);
+    let mut times = RouteTimes::new(&route);
+    expect_that!(times.baseline_ms(), near(50.0, 0.1), "a quarter of the target before any attempt");
+    for _ in 0..500 {
+        times.record_attempt(20.0, 1.0);
+        times.record_attempt(60.0, 3.0);
+    }
+    expect_that!(times.baseline_ms(), near(20.0, 2.0));
+    expect_that!(times.record_attempt(40.0, 2.0), near(2.0, 0.2), "twice the baseline");
+}
--- a/crates/pointvane-node/src/forward.rs
+++ b/crates/pointvane-node/src/forward.rs
@@ -109,9 +109,8 @@
     /// When a second attempt is considered, if ever.
     fn hedge_at(&self) -> Option<Instant> {
         let route = &self.request.routed.route;
-        let after_ms = self.node.dispatcher.route_times(route).hedge_after_ms(route);
-        let hedges = self.node.dispatcher.hedges && route.kind.repeatable();
-        hedges.then(|| Instant::now() + Duration::from_secs_f64(after_ms / 1e3))
+        let after_ms = self.node.dispatcher.route_times(route).hedge_after_ms(route)?;
+        self.node.dispatcher.hedges.then(|| Instant::now() + Duration::from_secs_f64(after_ms / 1e3))
     }
 
     fn retry_budget(&self) -> RefMut<'_, RetryBudget> {
