--- a/crates/pointvane-dispatch/tests/states.rs
+++ b/crates/pointvane-dispatch/tests/states.rs
@@ -166,3 +166,16 @@
     let far = StateRequest { known: ReadMark { revision: 2, version: 1 } };
     expect_that!(peer.answer(&far, &held, 4_002 * MS).unwrap().whole, eq(true));
 }
+
+/// Red, see KNOWN-RED.txt: where the platform takes longer to answer than the time between two relays, the call is given up
+/// and made anew at each relay, and the node stays behind.
+#[gtest]
+fn a_call_that_catches_up_is_not_given_up_for_the_next_relay() {
+    let mut watcher = read_up_to(5, 1);
+    let now_us = 10_000 * MS;
+    watcher.compare_with_peers(ReaderRole::Watcher, 5, now_us);
+    watcher.receive_relay(relay(6, 2, Vec::new()), 0.0, now_us);
+    expect_that!(watcher.next(now_us), matches_pattern!(ReaderCall::Watch { .. }));
+    watcher.receive_relay(relay(7, 3, Vec::new()), 0.0, now_us + 300 * MS);
+    expect_that!(watcher.is_behind(), eq(false), "the call under way brings what is missing");
+}
