--- a/crates/pointvane-control/src/platform.rs
+++ b/crates/pointvane-control/src/platform.rs
@@ -11,7 +11,7 @@
     ureq::{Agent, http::HeaderMap},
 };
 
-/// Longest wait of a watch, in seconds: the platform's own limit.
+/// Longest wait of a watch, in seconds, as it is asked of the platform. Not measured.
 const WAIT_S: u64 = 10;
 /// Time beyond the wait itself, for the platform's own delays. Not measured.
 const SLACK: Duration = Duration::from_secs(3);
--- a/crates/pointvane-dispatch/src/budget.rs
+++ b/crates/pointvane-dispatch/src/budget.rs
@@ -11,7 +11,7 @@
     std::collections::HashMap,
 };
 
-/// Nodes among which budgets are divided at least. Not measured: the users' small sites have 18.
+/// Nodes among which budgets are divided at least. Not measured.
 const NODES_MIN: usize = 20;
 
 /// Limits of the deployment, for the whole fleet.
--- a/crates/pointvane-dispatch/src/ejection.rs
+++ b/crates/pointvane-dispatch/src/ejection.rs
@@ -7,7 +7,7 @@
 
 use crate::retry::{AttemptOutcome, Refusal};
 
-/// Consecutive failures that eject an upstream. Not measured: one or two may be a cut connection.
+/// Consecutive failures that eject an upstream. Not measured.
 const FAILURES_TO_EJECT: u32 = 3;
 /// First time of ejection, in microseconds; each further one in a row doubles it.
 ///
--- a/crates/pointvane-dispatch/src/pool.rs
+++ b/crates/pointvane-dispatch/src/pool.rs
@@ -19,8 +19,7 @@
 const SLOWDOWN_FIRST: f32 = 2.0;
 /// Unit of reported slowdowns.
 const PERCENT: f32 = 100.0;
-/// Answers without a load report after which a service counts as one that reports none. Not measured: upstreams of one
-/// service run the same software, so a few are enough.
+/// Answers without a load report after which a service counts as one that reports none. Not measured.
 const SILENT_ANSWERS: u32 = 3;
 /// Removed upstreams whose last sequence is remembered. Bounds memory; not measured.
 const REMOVED_MAX: usize = 1_024;
--- a/crates/pointvane-dispatch/src/ranking_options.rs
+++ b/crates/pointvane-dispatch/src/ranking_options.rs
@@ -16,7 +16,7 @@
 pub struct RankingOptions {
     /// What upstreams are ranked by.
     pub ranking: Ranking,
-    /// Largest cost of an uncontended upstream. Not measured: it admits the noise of reports, not a queue.
+    /// Largest cost of an uncontended upstream. Not measured.
     pub uncontended_cost: f32,
     /// Longest age of the load report of an uncontended upstream, in microseconds.
     ///
@@ -25,8 +25,8 @@
     pub report_fresh_us: u64,
     /// Factor on the cost of upstreams in other data centres.
     ///
-    /// Preferring near ones was kept for fewer bytes between data centres (docs/MEASUREMENTS.md, "The way there"); the
-    /// factor itself was not measured at other values.
+    /// Near upstreams first was kept after a trial together with batches and two watchers (docs/MEASUREMENTS.md, "The way
+    /// there"); the factor itself was not measured.
     pub far_factor: f32,
     /// What each 100 KB of a request's body adds to that factor. Not measured.
     pub far_factor_per_100_kb: f32,
--- a/crates/pointvane-dispatch/src/reader/options.rs
+++ b/crates/pointvane-dispatch/src/reader/options.rs
@@ -14,8 +14,8 @@
     pub timeout_ms: u64,
     /// Longest time for a peer's answer, in milliseconds. Not measured.
     pub peer_timeout_ms: u64,
-    /// Peers that are queried for a state before the platform is. Queries took the calls to the platform on grown Heatline
-    /// from 1,263 to 220 (docs/MEASUREMENTS.md, "The round on NEWS-24").
+    /// Peers that are queried for a state before the platform is. Not measured at other values; queries and standbys together
+    /// took the calls on grown Heatline's quiet-1 from 1,263 to 220 (docs/MEASUREMENTS.md, "The round on NEWS-24").
     pub peer_queries: u32,
     /// Peers that are queried after the start before the platform is. Not measured at other values.
     pub start_queries: u32,
--- a/crates/pointvane-dispatch/src/upstream.rs
+++ b/crates/pointvane-dispatch/src/upstream.rs
@@ -27,10 +27,7 @@
     pub received_at_us: u64,
 }
 
-/// Age at which a reported slowdown counts half.
-///
-/// The neighbours' noise changes about twice a second, so a report a quarter of a second old is right half of the time.
-/// Not measured apart.
+/// Age at which a reported slowdown counts half. Not measured at other values.
 const SLOWDOWN_HALF_LIFE_US: f64 = 250_000.0;
 /// Age beyond which reported running and waiting requests are ignored.
 ///
--- a/crates/pointvane-dispatch/tests/common/mod.rs
+++ b/crates/pointvane-dispatch/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Changes and pages as the platform tells them.
+//! Routes, changes and pages as the platform publishes them.
 #![allow(dead_code)]
 
-use pointvane_core::{Change, ChangePage, RoutingConfiguration, UpstreamRecord};
+use pointvane_core::{Change, ChangePage, RouteKind, RouteRule, RoutingConfiguration, UpstreamRecord};
 
 pub fn record(id: &str, sequence: u64) -> UpstreamRecord {
     UpstreamRecord {
@@ -35,3 +35,17 @@
 pub fn page(revision: u64, changes: Vec<Change>) -> ChangePage {
     ChangePage { revision, changes, ..ChangePage::default() }
 }
+
+pub fn route(kind: RouteKind) -> RouteRule {
+    RouteRule {
+        name: "r".into(),
+        host: "h".into(),
+        path_prefix: "/".into(),
+        kind,
+        timeout_ms: 1_000,
+        target_latency_ms: 200,
+        attempts_max: 2,
+        priority: 0,
+        backends: Vec::new(),
+    }
+}
--- a/crates/pointvane-dispatch/tests/hedging.rs
+++ b/crates/pointvane-dispatch/tests/hedging.rs
@@ -1,24 +1,8 @@
 //! When a slow request gets a second attempt.
 
-use {
-    googletest::prelude::*,
-    pointvane_core::{RouteKind, RouteRule},
-    pointvane_dispatch::RouteTimes,
-};
+mod common;
 
-fn route(kind: RouteKind) -> RouteRule {
-    RouteRule {
-        name: "r".into(),
-        host: "h".into(),
-        path_prefix: "/".into(),
-        kind,
-        timeout_ms: 1_000,
-        target_latency_ms: 200,
-        attempts_max: 2,
-        priority: 0,
-        backends: Vec::new(),
-    }
-}
+use {common::route, googletest::prelude::*, pointvane_core::RouteKind, pointvane_dispatch::RouteTimes};
 
 #[gtest]
 fn a_hedge_starts_within_its_shares_of_the_target_however_fast_or_slow_answers_are() {
--- a/crates/pointvane-dispatch/tests/request_attempts.rs
+++ b/crates/pointvane-dispatch/tests/request_attempts.rs
@@ -1,8 +1,11 @@
 //! The attempts of one request: when another is made, and what the final answer is.
 
+mod common;
+
 use {
+    common::route,
     googletest::prelude::*,
-    pointvane_core::{ErrorKind, Outcome, RouteKind, RouteRule},
+    pointvane_core::{ErrorKind, Outcome, RouteKind},
     pointvane_dispatch::{
         AttemptEnd, AttemptOutcome, NextStep, Refusal, RequestAttempts, RetryBudget, RetryBudgetOptions,
         may_pass_on,
@@ -16,20 +19,6 @@
 const BROKEN: AttemptEnd = AttemptEnd::Tried(AttemptOutcome::Broken);
 const TIMED_OUT: AttemptEnd = AttemptEnd::Tried(AttemptOutcome::TimedOut);
 
-fn route(kind: RouteKind) -> RouteRule {
-    RouteRule {
-        name: "r".into(),
-        host: "h".into(),
-        path_prefix: "/".into(),
-        kind,
-        timeout_ms: 1_000,
-        target_latency_ms: 200,
-        attempts_max: 2,
-        priority: 0,
-        backends: Vec::new(),
-    }
-}
-
 /// A retry budget with some tokens.
 fn budget(tokens: usize) -> RetryBudget {
     let options = RetryBudgetOptions { ratio: 1.0, slack: 100.0, ratio_used: 1.0, slack_used: 1.0 };
--- a/crates/pointvane-entry/src/exchange.rs
+++ b/crates/pointvane-entry/src/exchange.rs
@@ -13,7 +13,7 @@
 
 /// What is left of the VM's control bytes to its control: more than it needs at rest among 1,800 VMs.
 const GOSSIP_BYTES_PER_S: u32 = 3_000;
-/// Time between two ticks. Not measured: load is sent some 16 times a second.
+/// Time between two ticks. Not measured.
 const TICK: Duration = Duration::from_millis(1);
 /// Ticks between two looks at the list of members.
 const MEMBERS_EVERY: u64 = 100;
--- a/crates/pointvane-entry/src/stop.rs
+++ b/crates/pointvane-entry/src/stop.rs
@@ -21,7 +21,7 @@
     },
 };
 
-/// Time for a planned stop to be known to every locate. Not measured: gossip reaches 170 members within 3 s at 5 % loss.
+/// Time for a planned stop to be known to every locate. Not measured.
 const STOP_SPREADS: Duration = Duration::from_millis(2_000);
 /// Time between two checks for requests in flight.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/pointvane-node/src/connections.rs
+++ b/crates/pointvane-node/src/connections.rs
@@ -20,13 +20,13 @@
     tokio::task::spawn_local,
 };
 
-/// Idle connections kept to one upstream. Not measured: each costs memory here and a slot of the upstream's limit.
+/// Idle connections kept to one upstream. Not measured; each costs memory.
 const IDLE_MAX: usize = 2;
-/// Longest idle time of a kept connection. Not measured: the users' upstreams close theirs later.
+/// Longest idle time of a kept connection. Not measured.
 const IDLE_TIME_MAX: Duration = Duration::from_secs(7);
-/// Longest time for a new connection. Not measured: several times the way between data centres.
+/// Longest time for a new connection. Not measured.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Largest read buffer of a connection, in bytes. Not measured: the least that holds the head of an answer.
+/// Largest read buffer of a connection, in bytes. Not measured.
 const READ_BUFFER_BYTES: usize = 32_768;
 
 /// Time after an answer within which surplus bytes of it may still come. Not measured.
--- a/crates/pointvane-node/src/fleet.rs
+++ b/crates/pointvane-node/src/fleet.rs
@@ -25,12 +25,9 @@
 
 /// Time between two pings of other nodes, in milliseconds. Not measured.
 const PING_INTERVAL_MS: u64 = 400;
-/// Time from suspicion of a node to its death, in milliseconds. Not measured: a node that was paused for a second
-/// must not keep requests away for longer.
+/// Time from suspicion of a node to its death, in milliseconds. Not measured.
 const SUSPECT_MS: u64 = 900;
-/// Nodes that watch the platform for all.
-///
-/// Two, so that one may fail; docs/MEASUREMENTS.md, "The way there", kept them with batches of changes.
+/// Nodes that watch the platform for all: two, so that one may fail. Not measured at other values.
 const WATCHERS: usize = 2;
 /// Nodes that read the platform when no watcher is heard. Not measured at other values.
 const STANDBYS: usize = 4;
--- a/crates/pointvane-node/src/platform_client.rs
+++ b/crates/pointvane-node/src/platform_client.rs
@@ -19,7 +19,7 @@
 
 /// Longest time for a new connection. Not measured: as long as an answer may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Largest answer that is read, in bytes. Not measured: it bounds memory, far above any page seen.
+/// Largest answer that is read, in bytes. Not measured: it bounds memory.
 const ANSWER_MAX_BYTES: usize = 8 << 20;
 
 /// The client; a connection on which a call failed is not used again.
--- a/crates/pointvane-node/src/settings.rs
+++ b/crates/pointvane-node/src/settings.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// What applies where a deployment bounds nothing. Not measured: lower than the limits of the users' sites.
+/// What applies where a deployment bounds nothing. Not measured.
 impl Default for NodeLimits {
     fn default() -> Self {
         Self {
