--- a/crates/pointvane-dispatch/src/attempts.rs
+++ b/crates/pointvane-dispatch/src/attempts.rs
@@ -1,9 +1,10 @@
-//! The attempts of one request as a state machine: when another is made, and what the final answer is.
+//! State machine for the attempts of one request: whether another attempt is made, and what the final answer
+//! is.
 //!
-//! Owns what is known of the request's attempts. The caller of the machine makes the attempts, keeps the best answer, and
-//! reports each end, the moment to hedge and the deadline; the machine returns what to do next. It needs no clock: the
-//! moments come from [`crate::answer_by_us`] and [`crate::RouteTimes::hedge_after_ms`]. Single ends are judged in
-//! `retry.rs`. Tests: `tests/request_attempts.rs`.
+//! It tracks the attempts of the request. Its caller makes the attempts, keeps the best answer, and reports
+//! the end of each attempt, the time to hedge and the deadline; the machine returns the next step. It reads
+//! no clock: the times come from [`crate::answer_by_us`] and [`crate::RouteTimes::hedge_after_ms`].
+//! `retry.rs` decides on each single outcome. Tests: `tests/request_attempts.rs`.
 
 use {
     crate::{
@@ -15,39 +16,40 @@
     pointvane_core::{ErrorKind, Outcome, RouteRule},
 };
 
-/// Attempts of one request that found no upstream or could not be sent, after which it is given up.
+/// Number of attempts without an upstream or a send after which a request is given up.
 ///
-/// Such attempts cost no upstream anything, but each needs a search. If a third of a service's upstreams is gone, eight in a row meet none
-/// that lives once in 6,561 times.
-const UNSENT_MAX: u32 = 8;
+/// Such attempts put no load on upstreams, but each needs a search. If a third of a service's upstreams is
+/// gone, all of eight attempts in a row hit one of those for only one request in 6,561.
+const UNSENT_ATTEMPTS_MAX: u32 = 8;
 
-/// How one attempt ended, the search for its upstream included.
+/// How one attempt ended, including the search for its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The service has no upstream left for this request, for this reason.
+    /// The service has no eligible upstream left for this request; holds the reason.
     NoUpstream(Ineligible),
-    /// It was not sent: it would have been too late (see `admission.rs`), or a hedge found no uncontended upstream.
+    /// The request was not sent: it would have finished too late (see `admission.rs`), or a hedge found no
+    /// uncontended upstream.
     NotAdmitted,
-    /// No search was made: upstreams crash under this request.
+    /// No search was made: the request is quarantined because upstreams crash while they process it.
     Quarantined,
-    /// No search was made: no upstream can finish it before its deadline.
+    /// No search was made: no upstream can finish the request before its deadline.
     DeadlineTooNear,
-    /// An upstream was chosen.
+    /// An upstream was chosen; holds the outcome.
     Tried(AttemptOutcome),
 }
 
-/// What to do next.
+/// Next step of a request, to be carried out by the caller of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Wait for the attempts under way.
+    /// Wait for the attempts in flight.
     Wait,
     /// Make another attempt in place of the one that ended.
     Retry,
-    /// Make another attempt beside the one under way (see [`crate::hedge_goal`]).
+    /// Make another attempt concurrently with the one in flight (see [`crate::hedge_goal`]).
     Hedge,
-    /// Answer with the best upstream's answer so far.
+    /// Answer with the best upstream answer received so far.
     Deliver,
-    /// Answer in the upstream's place.
+    /// Answer with this error instead of an upstream answer.
     GiveUp(ErrorKind),
 }
 
@@ -55,98 +57,101 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RequestAttempts<'r> {
     route: &'r RouteRule,
-    /// Whether the whole body is kept, so that two attempts may send it side by side.
-    is_body_kept: bool,
-    /// Whether the body is there to be sent: kept, or streamed and not begun.
-    has_body: bool,
-    under_way: u32,
-    unsent: u32,
+    /// Whether the whole body is buffered, so that two attempts can send it concurrently.
+    is_body_buffered: bool,
+    /// Whether the body can still be sent: it is buffered, or it is streamed and no byte of it was sent.
+    is_body_sendable: bool,
+    in_flight: u32,
+    unsent_attempts: u32,
     may_have_run: bool,
-    has_answer: bool,
-    /// Whether a token was taken for an attempt beside another one.
+    has_upstream_answer: bool,
+    /// Whether a budget token was taken for a hedge.
     has_hedge_token: bool,
 }
 
 impl<'r> RequestAttempts<'r> {
-    /// A request whose first attempt is under way.
-    pub fn started(route: &'r RouteRule, is_body_kept: bool) -> Self {
+    /// Creates the state of a request whose first attempt is in flight.
+    pub fn started(route: &'r RouteRule, is_body_buffered: bool) -> Self {
         Self {
             route,
-            is_body_kept,
-            has_body: is_body_kept,
-            under_way: 1,
-            unsent: 0,
+            is_body_buffered,
+            is_body_sendable: is_body_buffered,
+            in_flight: 1,
+            unsent_attempts: 0,
             may_have_run: false,
-            has_answer: false,
+            has_upstream_answer: false,
             has_hedge_token: false,
         }
     }
 
-    /// Takes note of whether a streamed body is still as its caller sends it: before the end of an attempt that may not have begun to send it.
-    pub fn streamed_body_left(&mut self, is_left: bool) {
-        self.has_body = self.is_body_kept || is_left;
+    /// Records whether a streamed body is still unsent. To be called before the end of an attempt is reported
+    /// that may not have started to send it.
+    pub fn streamed_body_left(&mut self, is_unsent: bool) {
+        self.is_body_sendable = self.is_body_buffered || is_unsent;
     }
 
-    /// Takes the end of an attempt; `sends` counts the attempts of this request that were sent so far.
+    /// Records the end of an attempt and returns the next step; `sends` is the number of attempts of this
+    /// request that were sent so far.
     pub fn ended(&mut self, end: AttemptEnd, sends: u32, budget: &mut RetryBudget) -> NextStep {
-        self.under_way -= 1;
-        self.give_back_unsent(end, budget);
+        self.in_flight -= 1;
+        self.refund_unsent_hedge(end, budget);
         let outcome = match end {
-            AttemptEnd::NoUpstream(reason) => return self.ended_unsent(reason.error()),
-            AttemptEnd::Quarantined => return self.ended_unsent(ErrorKind::RequestQuarantined),
-            AttemptEnd::NotAdmitted => return self.ended_unsent(ErrorKind::Overloaded),
+            AttemptEnd::NoUpstream(reason) => return self.record_unsent(reason.error()),
+            AttemptEnd::Quarantined => return self.record_unsent(ErrorKind::RequestQuarantined),
+            AttemptEnd::NotAdmitted => return self.record_unsent(ErrorKind::Overloaded),
             AttemptEnd::DeadlineTooNear if self.may_have_run => {
-                return self.ended_unsent(ErrorKind::UpstreamTimeout);
+                return self.record_unsent(ErrorKind::UpstreamTimeout);
             }
-            AttemptEnd::DeadlineTooNear => return self.ended_unsent(ErrorKind::DeadlinePassed),
+            AttemptEnd::DeadlineTooNear => return self.record_unsent(ErrorKind::DeadlinePassed),
             AttemptEnd::Tried(outcome) => outcome,
         };
         self.may_have_run |= outcome.may_have_run();
-        self.unsent += u32::from(outcome.is_unsent());
-        self.has_answer |= matches!(outcome, AttemptOutcome::Answered { .. });
-        match self.judge(outcome, self.attempts_left(sends)) {
+        self.unsent_attempts += u32::from(outcome.is_unsent());
+        self.has_upstream_answer |= matches!(outcome, AttemptOutcome::Answered { .. });
+        match self.verdict(outcome, self.has_attempts_left(sends)) {
             Verdict::Deliver => NextStep::Deliver,
-            Verdict::Retry { .. } if self.under_way > 0 => NextStep::Wait,
+            Verdict::Retry { .. } if self.in_flight > 0 => NextStep::Wait,
             Verdict::Retry { takes_token } => self.retry(outcome, takes_token, budget),
             Verdict::GiveUp(error) => self.give_up_if_last(error),
         }
     }
 
-    /// Takes the moment at which a second attempt is considered.
+    /// Decides, when a hedge is due, whether it is made; if so, takes a token of `budget` for it.
     pub fn hedge_due(&mut self, sends: u32, budget: &mut RetryBudget) -> NextStep {
-        if self.under_way != 1 || !self.is_body_kept || !self.attempts_left(sends) || !budget.take() {
+        if self.in_flight != 1 || !self.is_body_buffered || !self.has_attempts_left(sends) || !budget.take() {
             return NextStep::Wait;
         }
-        self.under_way += 1;
+        self.in_flight += 1;
         self.has_hedge_token = true;
         NextStep::Hedge
     }
 
-    /// Gives a hedge's token back when one of the two attempts ends unsent: then the other is no repeat.
-    fn give_back_unsent(&mut self, end: AttemptEnd, budget: &mut RetryBudget) {
+    /// Refunds the token of a hedge when one of the two attempts ends without having been sent, since nothing
+    /// was then sent twice.
+    fn refund_unsent_hedge(&mut self, end: AttemptEnd, budget: &mut RetryBudget) {
         let is_unsent = !matches!(end, AttemptEnd::Tried(outcome) if !outcome.is_unsent());
         if self.has_hedge_token && is_unsent {
-            budget.give_back();
+            budget.refund();
         }
-        // The token of two attempts of which one was sent and ended is spent.
+        // If an attempt ended after it was sent, the token is spent.
         self.has_hedge_token = false;
     }
 
-    /// Takes the moment at which the request has to be answered.
+    /// Returns the final step at the deadline of the request.
     pub fn deadline_passed(&self) -> NextStep {
         self.give_up(ErrorKind::UpstreamTimeout)
     }
 
-    fn judge(&self, outcome: AttemptOutcome, attempts_left: bool) -> Verdict {
-        judge(self.route.kind, outcome, self.may_have_run, attempts_left)
+    fn verdict(&self, outcome: AttemptOutcome, has_attempts_left: bool) -> Verdict {
+        judge(self.route.kind, outcome, self.may_have_run, has_attempts_left)
     }
 
-    fn attempts_left(&self, sends: u32) -> bool {
-        self.has_body && sends < self.route.attempts_max && self.unsent < UNSENT_MAX
+    fn has_attempts_left(&self, sends: u32) -> bool {
+        self.is_body_sendable && sends < self.route.attempts_max && self.unsent_attempts < UNSENT_ATTEMPTS_MAX
     }
 
-    fn ended_unsent(&mut self, error: ErrorKind) -> NextStep {
-        self.unsent += 1;
+    fn record_unsent(&mut self, error: ErrorKind) -> NextStep {
+        self.unsent_attempts += 1;
         self.give_up_if_last(error)
     }
 
@@ -154,26 +159,28 @@
         if takes_token && !budget.take() {
             return self.give_up_without_token(outcome);
         }
-        self.under_way += 1;
+        self.in_flight += 1;
         NextStep::Retry
     }
 
-    /// The final answer when only the retry budget prevents another attempt: the same as if none were left.
+    /// Returns the final step if only the retry budget prevents another attempt; the same as with no attempts
+    /// left.
     fn give_up_without_token(&self, outcome: AttemptOutcome) -> NextStep {
-        match self.judge(outcome, false) {
+        match self.verdict(outcome, false) {
             Verdict::GiveUp(error) => self.give_up(error),
             Verdict::Deliver | Verdict::Retry { .. } => self.give_up(ErrorKind::UpstreamBroken),
         }
     }
 
     fn give_up_if_last(&self, error: ErrorKind) -> NextStep {
-        if self.under_way == 0 { self.give_up(error) } else { NextStep::Wait }
+        if self.in_flight == 0 { self.give_up(error) } else { NextStep::Wait }
     }
 
-    /// An upstream's answer is better than none. "Not run" is never said of a request that may have run.
+    /// Prefers an upstream answer, if there is one, to `error`. "Not run" is never reported for a request
+    /// that may have run.
     fn give_up(&self, error: ErrorKind) -> NextStep {
         match error {
-            _ if self.has_answer => NextStep::Deliver,
+            _ if self.has_upstream_answer => NextStep::Deliver,
             error if self.may_have_run && error.answer().outcome == Outcome::NotRun => {
                 NextStep::GiveUp(ErrorKind::UpstreamBroken)
             }
--- a/crates/pointvane-dispatch/src/outcome.rs
+++ b/crates/pointvane-dispatch/src/outcome.rs
@@ -1,45 +1,47 @@
-//! How one attempt ended: what is known of the request, by which retries, ejection, lines and metrics go.
+//! Outcome of one attempt, as used by retries, ejection, logs and metrics.
 
 use crate::{ineligible::Ineligible, load_when_sent::LoadWhenSent};
 
-/// Why an upstream says that it did not run a request.
+/// Why an upstream reports that it did not run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It is full, or its queue outlasted the deadline.
+    /// It has no free slot, or the request's deadline passed in its queue.
     Busy,
-    /// It says that it is full, and its report right before the send told of a free slot.
+    /// It reports no free slot, although its load report right before the send had one.
     BusyWithRoom,
-    /// Another upstream has the address now.
+    /// A different upstream uses the address now.
     Misdirected,
     /// Any other reason.
     Other,
 }
 
-/// How one attempt ended.
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The upstream's own answer is there, good or bad.
+    /// The upstream answered, successfully or with an error.
     Answered {
-        /// Whether its status is a server error.
+        /// Whether the status is a server error.
         failed: bool,
     },
-    /// The upstream says that it did not run the request.
+    /// The upstream reports that it did not run the request.
     NotRun(Refusal),
-    /// Nothing was sent: a connection that was kept had ended.
+    /// Nothing was sent: a reused connection had been closed.
     Unsent,
     /// Nothing was sent: no connection could be opened.
     Unreachable,
-    /// Nothing was sent, since the upstream that was chosen may not get work any more.
+    /// Nothing was sent: the chosen upstream became ineligible before the send.
     Withheld(Ineligible),
-    /// Nothing was sent, since news came that upstreams crash under this request.
+    /// Nothing was sent: the request was quarantined before the send because upstreams crash while they
+    /// process it.
     Quarantined,
-    /// Nothing was sent, since the key that the request carries was taken away.
+    /// Nothing was sent: the key of the request was revoked.
     Unauthorized,
-    /// It may have run, and there is no answer that can be trusted.
+    /// The request may have run, and there is no answer that can be trusted.
     Broken,
-    /// It may have run; its connection broke, and right after nobody listened at the upstream's address any more.
+    /// The request may have run; its connection broke, and right after that nothing listened at the
+    /// upstream's address any more.
     Crashed,
-    /// It may have run, and its deadline has passed.
+    /// The request may have run, and its deadline has passed.
     TimedOut,
 }
 
@@ -49,7 +51,8 @@
         matches!(self, Self::Answered { .. } | Self::Broken | Self::Crashed | Self::TimedOut)
     }
 
-    /// The outcome in the light of what was known of the upstream's load when the request was sent.
+    /// Refines the outcome by the load of the upstream that was known when the request was sent: a busy
+    /// upstream that had a free slot by its current report is [`Refusal::BusyWithRoom`].
     pub fn in_light_of(self, sent: &LoadWhenSent) -> Self {
         match self {
             Self::NotRun(Refusal::Busy) if sent.is_current && sent.occupancy <= 1.0 => {
@@ -59,7 +62,8 @@
         }
     }
 
-    /// Whether its send began at the upstream; one whose time had passed by then counts as not begun.
+    /// Whether sending to the upstream had begun; a request whose deadline had passed by then counts as not
+    /// begun.
     pub const fn was_begun(self) -> bool {
         matches!(self, Self::Answered { .. } | Self::NotRun(_) | Self::Unsent | Self::Broken | Self::Crashed)
     }
@@ -72,7 +76,7 @@
         )
     }
 
-    /// The outcome's name in logs and metrics.
+    /// The name of the outcome in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Answered { failed: false } => "answered",
--- a/crates/pointvane-dispatch/tests/admission_queue.rs
+++ b/crates/pointvane-dispatch/tests/admission_queue.rs
@@ -1,5 +1,5 @@
-//! What callers get in a burst, with and without a queue at upstreams: a simulated service whose upstreams are disturbed by neighbours,
-//! and callers who come back when they are refused.
+//! Share of requests that meet their target in a burst, with and without queueing at upstreams, in a
+//! simulated service whose upstreams are slowed by noisy neighbours and whose callers retry refused requests.
 
 mod common;
 
@@ -16,94 +16,99 @@
 const UPSTREAMS: usize = 30;
 const SLOTS: usize = 4;
 const TARGET_MS: u64 = 1_000;
-/// Share of the time for which neighbours slow an upstream down, how much, and how long they last.
+/// Share of the time in which neighbours slow an upstream down.
 const NOISE_SHARE: f64 = 0.3;
+/// Factor on the service time in such a period.
 const NOISE_SLOWDOWN: f64 = 7.0;
+/// Mean time until the noise of an upstream is drawn anew.
 const NOISE_MS: f64 = 500.0;
-/// Times that a caller comes back.
-const RETURNS_MAX: u32 = 2;
-const CALM_MS: f64 = 2_000.0;
+/// Maximum number of retries of a refused request.
+const RETRIES_MAX: u32 = 2;
+const BEFORE_BURST_MS: f64 = 2_000.0;
 const BURST_MS: f64 = 5_000.0;
 const END_MS: f64 = 15_000.0;
 
-/// A caller's request.
+/// Request of a caller; `arrives_ms` is the arrival of the current try.
 #[derive(Clone, Copy)]
 struct Request {
     first_sent_ms: f64,
     arrives_ms: f64,
-    returns: u32,
+    retries: u32,
 }
 
-/// An upstream with work that runs (what is left of it, in milliseconds) and work that waits.
+/// Upstream with running requests (each with its remaining service time in milliseconds) and a queue.
 #[derive(Clone, Default)]
 struct Upstream {
     running: Vec<(f64, Request)>,
     waiting: VecDeque<Request>,
-    noisy: bool,
+    is_noisy: bool,
 }
 
-/// A service: how long work takes, and how much longer at a full upstream.
+/// Mean service time of a request, and the factor on it at a fully occupied upstream.
 #[derive(Clone, Copy)]
 struct Service {
-    work_ms: f64,
+    service_ms: f64,
     full_slowdown: f64,
 }
 
 impl Upstream {
     fn slowdown(&self) -> f64 {
-        if self.noisy { NOISE_SLOWDOWN } else { 1.0 }
+        if self.is_noisy { NOISE_SLOWDOWN } else { 1.0 }
     }
 
     fn occupancy(&self) -> f64 {
         (self.running.len() + self.waiting.len() + 1) as f64 / SLOTS as f64
     }
 
-    /// Expected latency of one more request, as a node computes it.
+    /// Expected latency of one more request, computed as a node does.
     fn expected_ms(&self, service: Service) -> f64 {
-        let full = if self.occupancy() >= 1.0 { service.full_slowdown } else { 1.0 };
-        service.work_ms * self.slowdown() * self.occupancy().max(1.0) * full
+        let slowdown_when_full = if self.occupancy() >= 1.0 { service.full_slowdown } else { 1.0 };
+        service.service_ms * self.slowdown() * self.occupancy().max(1.0) * slowdown_when_full
     }
 
-    /// Works for a step; gives the requests that are done.
+    /// Advances the upstream by one step and returns the finished requests.
     fn step(&mut self, service: Service, rng: &mut SmallRng) -> Vec<Request> {
         if rng.random_bool(STEP_MS / NOISE_MS) {
-            self.noisy = rng.random_bool(NOISE_SHARE);
+            self.is_noisy = rng.random_bool(NOISE_SHARE);
         }
         while self.running.len() < SLOTS {
             let Some(request) = self.waiting.pop_front() else { break };
-            let work_ms = service.work_ms * rng.random_range(0.6..1.4);
-            self.running.push((work_ms * self.slowdown(), request));
+            let service_ms = service.service_ms * rng.random_range(0.6..1.4);
+            self.running.push((service_ms * self.slowdown(), request));
         }
-        let full = if self.running.len() == SLOTS { service.full_slowdown } else { 1.0 };
-        self.running.iter_mut().for_each(|(left_ms, _)| *left_ms -= STEP_MS / full);
-        let done = self.running.iter().filter(|(left_ms, _)| *left_ms <= 0.0).map(|(_, request)| *request);
+        let slowdown_when_full = if self.running.len() == SLOTS { service.full_slowdown } else { 1.0 };
+        self.running.iter_mut().for_each(|(remaining_ms, _)| *remaining_ms -= STEP_MS / slowdown_when_full);
+        let done =
+            self.running.iter().filter(|(remaining_ms, _)| *remaining_ms <= 0.0).map(|(_, request)| *request);
         let done = done.collect();
-        self.running.retain(|(left_ms, _)| *left_ms > 0.0);
+        self.running.retain(|(remaining_ms, _)| *remaining_ms > 0.0);
         done
     }
 }
 
-/// The share of the requests that are answered within their target; `full_factor` is what nodes have learned of full upstreams.
-fn in_time(service: Service, burst_per_s: f64, full_factor: f64, seed: u64) -> f64 {
+/// Returns the share of the requests that are answered within their target latency. `full_factor` is the
+/// slowdown of full upstreams that nodes have learned.
+fn share_meeting_target(service: Service, burst_per_s: f64, full_factor: f64, seed: u64) -> f64 {
     let route = RouteRule { target_latency_ms: TARGET_MS, ..route(RouteKind::Unsafe) };
     let policy = AdmissionPolicy::default();
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut upstreams = vec![Upstream::default(); UPSTREAMS];
-    let mut callers: Vec<Request> = Vec::new();
-    let (mut sent, mut good) = (0, 0);
+    let mut pending: Vec<Request> = Vec::new();
+    let (mut sent, mut met_target) = (0, 0);
     let mut now_ms = 0.0;
     while now_ms < END_MS {
-        let bursts = (CALM_MS..CALM_MS + BURST_MS).contains(&now_ms);
-        let rate_per_s = if bursts { burst_per_s } else { burst_per_s / 3.0 };
+        let is_burst = (BEFORE_BURST_MS..BEFORE_BURST_MS + BURST_MS).contains(&now_ms);
+        let rate_per_s = if is_burst { burst_per_s } else { burst_per_s / 3.0 };
         for _ in 0..10 {
             if rng.random_bool(rate_per_s * STEP_MS / 1e3 / 10.0) {
-                callers.push(Request { first_sent_ms: now_ms, arrives_ms: now_ms, returns: 0 });
+                pending.push(Request { first_sent_ms: now_ms, arrives_ms: now_ms, retries: 0 });
                 sent += 1;
             }
         }
-        let (now, later): (Vec<_>, Vec<_>) = callers.into_iter().partition(|one| one.arrives_ms <= now_ms);
-        callers = later;
-        for request in now {
+        let (due, not_due): (Vec<_>, Vec<_>) =
+            pending.into_iter().partition(|request| request.arrives_ms <= now_ms);
+        pending = not_due;
+        for request in due {
             let cost = |upstream: &&mut Upstream| upstream.expected_ms(service);
             let best = upstreams.iter_mut().min_by(|a, b| cost(a).total_cmp(&cost(b))).unwrap();
             let expected_ms = best.expected_ms(service);
@@ -111,57 +116,59 @@
             let estimate = FinishEstimate { elapsed_ms: 0.0, expected_ms, occupancy, full_factor };
             if policy.admits(&route, &estimate, best.occupancy() <= 1.0) {
                 best.waiting.push_back(request);
-            } else if request.returns < RETURNS_MAX {
+            } else if request.retries < RETRIES_MAX {
                 let after_ms =
                     retry_after_ms(&route, ErrorKind::Overloaded, RefusedBy::Node, None, rng.random())
                         .unwrap();
-                let (arrives_ms, returns) = (now_ms + f64::from(after_ms), request.returns + 1);
-                callers.push(Request { arrives_ms, returns, ..request });
+                let (arrives_ms, retries) = (now_ms + f64::from(after_ms), request.retries + 1);
+                pending.push(Request { arrives_ms, retries, ..request });
             }
         }
         for upstream in &mut upstreams {
             let done = upstream.step(service, &mut rng);
-            let is_in_time = |request: &&Request| now_ms - request.first_sent_ms <= TARGET_MS as f64;
-            good += done.iter().filter(is_in_time).count();
+            let meets_target = |request: &&Request| now_ms - request.first_sent_ms <= TARGET_MS as f64;
+            met_target += done.iter().filter(meets_target).count();
         }
         now_ms += STEP_MS;
     }
-    good as f64 / sent as f64
+    met_target as f64 / sent as f64
 }
 
-fn mean_in_time(service: Service, burst_per_s: f64, full_factor: f64) -> f64 {
-    (0..10).map(|seed| in_time(service, burst_per_s, full_factor, seed)).sum::<f64>() / 10.0
+fn mean_share_meeting_target(service: Service, burst_per_s: f64, full_factor: f64) -> f64 {
+    (0..10).map(|seed| share_meeting_target(service, burst_per_s, full_factor, seed)).sum::<f64>() / 10.0
 }
 
-/// No queue, whatever is expected.
+/// Learned slowdown at which no request is admitted to a queue.
 const NO_QUEUE: f64 = f64::INFINITY;
 
-/// The upstreams bear some 255 requests a second. In time without a queue and with one: 0.929 and 0.959 at 240 a second, 0.883 and 0.924
-/// at 260. For as long as more comes than they bear a queue only makes all late, so what it may hold is bounded: 0.833 and 0.781 at 280.
+/// The capacity of the upstreams is about 255 requests/s. Without a queue and with one, 0.929 and 0.959 of
+/// the requests meet their target at 240/s, 0.883 and 0.924 at 260/s. Above capacity a queue delays every
+/// request, so its length is bounded: 0.833 and 0.781 at 280/s.
 #[gtest]
-fn in_a_burst_more_are_in_time_if_what_is_in_time_may_wait_at_an_upstream() {
-    let service = Service { work_ms: 350.0, full_slowdown: 1.0 };
+fn queueing_at_upstreams_lets_more_requests_meet_their_target_in_a_burst() {
+    let service = Service { service_ms: 350.0, full_slowdown: 1.0 };
     for (burst_per_s, gain) in [(200.0, 0.0), (240.0, 0.02), (260.0, 0.02), (280.0, -0.07)] {
-        let without = mean_in_time(service, burst_per_s, NO_QUEUE);
-        let with = mean_in_time(service, burst_per_s, 1.0);
-        println!("{burst_per_s} a second: {without:.3} without a queue, {with:.3} with one");
-        expect_that!(with, gt(without + gain), "{burst_per_s} a second");
+        let without_queue = mean_share_meeting_target(service, burst_per_s, NO_QUEUE);
+        let with_queue = mean_share_meeting_target(service, burst_per_s, 1.0);
+        println!("{burst_per_s} requests/s: {without_queue:.3} without a queue, {with_queue:.3} with one");
+        expect_that!(with_queue, gt(without_queue + gain), "{burst_per_s} requests/s");
     }
 }
 
-/// In time without a queue, with one of whatever is in time by the margin, and with the one that is kept short by what was learned: 0.794, 0.728 and
-/// 0.794 at 250 a second.
+/// Guards against queues that lower goodput where full upstreams slow down. At 250 requests/s, 0.794 of the
+/// requests meet their target without a queue, 0.728 with one that ignores the slowdown, and 0.794 with one
+/// limited by the learned slowdown.
 #[gtest]
-fn where_full_upstreams_slow_down_the_queue_that_is_kept_short_does_no_harm() {
-    let service = Service { work_ms: 280.0, full_slowdown: 1.7 };
+fn a_shortened_queue_does_not_reduce_goodput_where_full_upstreams_slow_down() {
+    let service = Service { service_ms: 280.0, full_slowdown: 1.7 };
     for burst_per_s in [200.0, 250.0, 300.0] {
-        let without = mean_in_time(service, burst_per_s, NO_QUEUE);
-        let any = mean_in_time(service, burst_per_s, 1.0);
-        let short = mean_in_time(service, burst_per_s, 1.7);
+        let without_queue = mean_share_meeting_target(service, burst_per_s, NO_QUEUE);
+        let long_queue = mean_share_meeting_target(service, burst_per_s, 1.0);
+        let short_queue = mean_share_meeting_target(service, burst_per_s, 1.7);
         println!(
-            "{burst_per_s} a second: {without:.3} without, {any:.3} with any, {short:.3} with a short one"
+            "{burst_per_s}/s: {without_queue:.3} without, {long_queue:.3} long, {short_queue:.3} short queue"
         );
-        expect_that!(short, ge(without - 0.01), "{burst_per_s} a second");
-        expect_that!(short, ge(any - 0.01), "{burst_per_s} a second");
+        expect_that!(short_queue, ge(without_queue - 0.01), "{burst_per_s} requests/s");
+        expect_that!(short_queue, ge(long_queue - 0.01), "{burst_per_s} requests/s");
     }
 }
--- a/crates/pointvane-dispatch/tests/request_attempts.rs
+++ b/crates/pointvane-dispatch/tests/request_attempts.rs
@@ -12,14 +12,14 @@
     },
 };
 
-const WELL: AttemptEnd = AttemptEnd::Tried(AttemptOutcome::Answered { failed: false });
+const SUCCEEDED: AttemptEnd = AttemptEnd::Tried(AttemptOutcome::Answered { failed: false });
 const FAILED: AttemptEnd = AttemptEnd::Tried(AttemptOutcome::Answered { failed: true });
 const BUSY: AttemptEnd = AttemptEnd::Tried(AttemptOutcome::NotRun(Refusal::Busy));
 const UNSENT: AttemptEnd = AttemptEnd::Tried(AttemptOutcome::Unsent);
 const BROKEN: AttemptEnd = AttemptEnd::Tried(AttemptOutcome::Broken);
 const TIMED_OUT: AttemptEnd = AttemptEnd::Tried(AttemptOutcome::TimedOut);
 
-/// A retry budget with some tokens.
+/// Returns a retry budget with `tokens` tokens.
 fn budget(tokens: usize) -> RetryBudget {
     let options = RetryBudgetOptions { ratio: 1.0, slack: 100.0, ratio_used: 1.0, slack_used: 1.0 };
     let mut budget = RetryBudget::new(options, 1);
@@ -30,12 +30,12 @@
 #[gtest]
 fn a_good_answer_is_delivered() {
     let route = route(RouteKind::Unsafe);
-    let step = RequestAttempts::started(&route, true).ended(WELL, 1, &mut budget(0));
+    let step = RequestAttempts::started(&route, true).ended(SUCCEEDED, 1, &mut budget(0));
     expect_that!(step, eq(NextStep::Deliver));
 }
 
 #[gtest]
-fn work_that_may_not_be_repeated_is_retried_only_if_it_did_not_run() {
+fn a_non_repeatable_request_is_retried_only_if_it_did_not_run() {
     let route = route(RouteKind::Unsafe);
     let step = |end| RequestAttempts::started(&route, true).ended(end, 1, &mut budget(5));
     expect_that!(step(BUSY), eq(NextStep::Retry));
@@ -47,16 +47,16 @@
 
 #[gtest]
 fn without_a_token_the_answer_is_the_same_as_without_attempts_left() {
-    let (safe, work) = (route(RouteKind::Safe), route(RouteKind::Unsafe));
+    let (safe, non_repeatable) = (route(RouteKind::Safe), route(RouteKind::Unsafe));
     let step = |route, end| RequestAttempts::started(route, true).ended(end, 1, &mut budget(0));
-    expect_that!(step(&work, BUSY), eq(NextStep::GiveUp(ErrorKind::Overloaded)));
+    expect_that!(step(&non_repeatable, BUSY), eq(NextStep::GiveUp(ErrorKind::Overloaded)));
     expect_that!(step(&safe, BROKEN), eq(NextStep::GiveUp(ErrorKind::UpstreamBroken)));
-    expect_that!(step(&safe, FAILED), eq(NextStep::Deliver), "its own error is better than none");
+    expect_that!(step(&safe, FAILED), eq(NextStep::Deliver), "the upstream's error is better than none");
     expect_that!(step(&safe, UNSENT), eq(NextStep::Retry), "nothing was sent, so it takes no token");
 }
 
 #[gtest]
-fn a_route_bounds_the_attempts_that_were_sent() {
+fn sent_attempts_are_limited_by_the_route() {
     let route = route(RouteKind::Safe);
     let mut attempts = RequestAttempts::started(&route, true);
     let mut budget = budget(5);
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn attempts_that_could_not_be_sent_end_after_eight() {
+fn a_request_is_given_up_after_eight_unsent_attempts() {
     let route = route(RouteKind::Safe);
     let mut attempts = RequestAttempts::started(&route, true);
     let mut budget = budget(5);
@@ -90,7 +90,7 @@
 }
 
 #[gtest]
-fn a_hedge_needs_a_token_and_a_lone_attempt_and_takes_one_of_the_routes_attempts() {
+fn a_hedge_needs_a_token_a_single_attempt_in_flight_and_an_attempt_left() {
     let route = route(RouteKind::Safe);
     let mut attempts = RequestAttempts::started(&route, true);
     expect_that!(attempts.hedge_due(1, &mut budget(0)), eq(NextStep::Wait));
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn the_other_attempt_of_a_hedged_request_is_waited_for() {
+fn a_hedged_request_waits_for_its_other_attempt() {
     let route = route(RouteKind::Safe);
     let hedged = || {
         let mut attempts = RequestAttempts::started(&route, true);
@@ -110,14 +110,18 @@
     for end in [AttemptEnd::NotAdmitted, AttemptEnd::NoUpstream(Ineligible::Gone), BROKEN] {
         let mut attempts = hedged();
         expect_that!(attempts.ended(end, 2, &mut budget(5)), eq(NextStep::Wait), "{end:?}");
-        expect_that!(attempts.ended(WELL, 2, &mut budget(5)), eq(NextStep::Deliver));
+        expect_that!(attempts.ended(SUCCEEDED, 2, &mut budget(5)), eq(NextStep::Deliver));
     }
     let mut attempts = hedged();
-    expect_that!(attempts.ended(BUSY, 1, &mut budget(5)), eq(NextStep::Wait), "no third beside the hedge");
+    expect_that!(
+        attempts.ended(BUSY, 1, &mut budget(5)),
+        eq(NextStep::Wait),
+        "no third attempt beside the hedge"
+    );
 }
 
 #[gtest]
-fn at_the_deadline_an_answer_at_hand_is_delivered() {
+fn at_the_deadline_an_available_answer_is_delivered() {
     let route = route(RouteKind::Safe);
     let mut attempts = RequestAttempts::started(&route, true);
     expect_that!(attempts.deadline_passed(), eq(NextStep::GiveUp(ErrorKind::UpstreamTimeout)));
@@ -126,7 +130,7 @@
 }
 
 #[gtest]
-fn not_run_is_never_said_after_an_attempt_that_may_have_run() {
+fn not_run_is_never_reported_after_an_attempt_that_may_have_run() {
     let route = route(RouteKind::Safe);
     for second in [BUSY, UNSENT, AttemptEnd::NoUpstream(Ineligible::Gone), AttemptEnd::NotAdmitted] {
         let mut attempts = RequestAttempts::started(&route, true);
@@ -137,7 +141,7 @@
 }
 
 #[gtest]
-fn a_status_that_promises_not_run_is_not_passed_on_for_work_that_may_not_be_repeated() {
+fn a_status_implying_not_run_is_not_relayed_for_non_repeatable_requests() {
     for status in [408, 421, 429, 503] {
         expect_that!(may_pass_on(RouteKind::Unsafe, status), eq(false));
         expect_that!(may_pass_on(RouteKind::Safe, status), eq(true));
@@ -146,17 +150,17 @@
 }
 
 #[gtest]
-fn a_deadline_nearer_than_the_least_time_of_service_ends_the_request_at_once() {
+fn a_deadline_below_the_minimum_service_time_ends_the_request_at_once() {
     let route = route(RouteKind::Safe);
     let mut times = RouteTimes::new(&route);
-    expect_that!(times.cannot_finish(1.0), eq(false), "nothing was measured yet");
+    expect_that!(times.cannot_finish(1.0), eq(false), "no latency was recorded yet");
     (0..100).for_each(|number| _ = times.record_attempt(100.0 + f64::from(number % 7), 1.0));
     expect_that!(times.cannot_finish(49.0), eq(true));
     expect_that!(times.cannot_finish(60.0), eq(false));
     let mut attempts = RequestAttempts::started(&route, true);
     let end = attempts.ended(AttemptEnd::DeadlineTooNear, 0, &mut budget(0));
     expect_that!(end, eq(NextStep::GiveUp(ErrorKind::DeadlinePassed)));
-    // Not run is never said of what may have run.
+    // "Not run" is never reported for a request that may have run.
     let mut attempts = RequestAttempts::started(&route, true);
     expect_that!(attempts.ended(BROKEN, 1, &mut budget(5)), eq(NextStep::Retry));
     let end = attempts.ended(AttemptEnd::DeadlineTooNear, 1, &mut budget(5));
@@ -164,19 +168,20 @@
 }
 
 #[gtest]
-fn the_least_latency_follows_upstreams_that_become_slower_or_quicker() {
-    let mut least = LeastLatency::default();
-    (0..50).for_each(|_| least.record(100.0));
-    expect_that!(least.get_ms(), some(near(100.0, 2.0)));
-    least.record(20.0);
-    expect_that!(least.get_ms(), some(eq(20.0)));
-    (0..300).for_each(|_| least.record(100.0));
-    expect_that!(least.get_ms(), some(near(100.0, 2.0)));
+fn the_minimum_latency_follows_upstreams_that_become_slower_or_faster() {
+    let mut minimum = LeastLatency::default();
+    (0..50).for_each(|_| minimum.record(100.0));
+    expect_that!(minimum.get_ms(), some(near(100.0, 2.0)));
+    minimum.record(20.0);
+    expect_that!(minimum.get_ms(), some(eq(20.0)));
+    (0..300).for_each(|_| minimum.record(100.0));
+    expect_that!(minimum.get_ms(), some(near(100.0, 2.0)));
 }
 
-/// A third of a service's upstreams crash at once, and the platform does not say so yet.
+/// Guards against giving up too early when a third of a service's upstreams crash at once and the platform
+/// has not reported it yet.
 #[gtest]
-fn a_request_outlasts_many_upstreams_that_cannot_be_reached() {
+fn a_request_is_retried_after_seven_unreachable_upstreams() {
     let route = route(RouteKind::Unsafe);
     let unreachable = AttemptEnd::Tried(AttemptOutcome::Unreachable);
     let mut attempts = RequestAttempts::started(&route, true);
@@ -193,9 +198,10 @@
     );
 }
 
-/// News may come before the search, or before the send; an attempt ahead of it may have run.
+/// A quarantine may be learned before the search or before the send, and an earlier attempt of the request
+/// may have run by then.
 #[gtest]
-fn a_quarantined_request_is_not_tried_elsewhere_and_not_run_is_told_only_if_true() {
+fn a_quarantined_request_is_not_retried_and_not_run_is_reported_only_if_true() {
     const CRASHED: AttemptEnd = AttemptEnd::Tried(AttemptOutcome::Crashed);
     const BEFORE_SEND: AttemptEnd = AttemptEnd::Tried(AttemptOutcome::Quarantined);
     for kind in [RouteKind::Safe, RouteKind::Unsafe] {
@@ -214,14 +220,14 @@
     expect_that!(ErrorKind::RequestQuarantined.answer().retry_after, eq(false));
 }
 
-/// Its upstream asked for no requests while the connection was made.
+/// The upstream asked for a back-off while the connection was being opened, so no byte of the body was sent.
 #[gtest]
-fn a_streamed_body_that_was_not_begun_goes_elsewhere_and_is_never_hedged() {
+fn an_unsent_streamed_body_is_retried_and_never_hedged() {
     let route = route(RouteKind::Upload);
     let withheld = AttemptEnd::Tried(AttemptOutcome::Withheld(Ineligible::BackingOff));
-    let step = |is_left| {
+    let step = |is_unsent| {
         let mut attempts = RequestAttempts::started(&route, false);
-        attempts.streamed_body_left(is_left);
+        attempts.streamed_body_left(is_unsent);
         let hedge = attempts.hedge_due(0, &mut budget(5));
         expect_that!(hedge, eq(NextStep::Wait));
         attempts.ended(withheld, 0, &mut budget(5))
@@ -230,9 +236,9 @@
     expect_that!(step(false), eq(NextStep::GiveUp(ErrorKind::UpstreamsBackingOff)));
 }
 
-/// A hedge that was never sent spent a token all the same, and the next slow request found none.
+/// Guards against hedges that spend a token without being sent, so that the next slow request finds none.
 #[gtest]
-fn a_hedge_that_was_not_sent_costs_no_token() {
+fn an_unsent_hedge_costs_no_token() {
     let route = route(RouteKind::Safe);
     let unsent = [AttemptEnd::NotAdmitted, AttemptEnd::NoUpstream(Ineligible::Gone), UNSENT];
     for end in unsent {
@@ -250,7 +256,7 @@
 }
 
 #[gtest]
-fn a_hedge_is_considered_again_at_doubling_times_and_goes_anywhere_long_after_the_target() {
+fn hedging_is_reconsidered_at_doubling_intervals_and_uses_any_upstream_long_after_the_target() {
     let route = route(RouteKind::Safe);
     let mut schedule = HedgeSchedule::new(30.0);
     let times: Vec<f64> = (0..4)
@@ -261,12 +267,12 @@
         })
         .collect();
     expect_that!(times, elements_are![eq(&30.0), eq(&60.0), eq(&120.0), eq(&240.0)]);
-    let mut at_once = HedgeSchedule::new(0.0);
-    at_once.tried();
+    let mut zero_delay = HedgeSchedule::new(0.0);
+    zero_delay.tried();
     expect_that!(
-        at_once.next_ms(),
+        zero_delay.next_ms(),
         ge(1.0),
-        "a route without a target, whose tries would never come to an end"
+        "a delay of 0 for a route without a target latency must not retry without end"
     );
     let target_ms = route.target_latency_ms as f64;
     expect_that!(hedge_goal(&route, target_ms * 1.9, 0), eq(SearchGoal::UncontendedOnly));
