--- a/crates/pointvane-dispatch/src/latency.rs
+++ b/crates/pointvane-dispatch/src/latency.rs
@@ -1,27 +1,26 @@
-//! A running estimate of one quantile of latencies, in constant space.
+//! Running estimates of latencies in constant space: one quantile, and the recent minimum.
 
-/// Follows a quantile by steps: up after a larger time, down after a smaller one, in the quantile's ratio.
+/// Estimates a quantile by steps: up after a larger latency, down after a smaller one, with step sizes in the
+/// ratio of the quantile to its complement.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyQuantile {
     quantile: f64,
     estimate_ms: f64,
 }
 
-/// Size of a step, as a share of the estimate.
-///
-/// Not measured at other values.
+/// Step size, as a share of the estimate.
 const STEP_SHARE: f64 = 0.05;
 
 impl LatencyQuantile {
-    /// An estimate that starts at `initial_ms`.
+    /// Creates an estimate that starts at `initial_ms`, at least 1 ms.
     pub fn new(quantile: f64, initial_ms: f64) -> Self {
         Self { quantile, estimate_ms: initial_ms.max(1.0) }
     }
 
-    /// Records one latency.
-    pub fn record(&mut self, time_ms: f64) {
+    /// Records one latency, in milliseconds.
+    pub fn record(&mut self, latency_ms: f64) {
         let step = self.estimate_ms * STEP_SHARE;
-        if time_ms > self.estimate_ms {
+        if latency_ms > self.estimate_ms {
             self.estimate_ms += step * self.quantile;
         } else {
             self.estimate_ms -= step * (1.0 - self.quantile);
@@ -29,31 +28,32 @@
         self.estimate_ms = self.estimate_ms.max(1.0);
     }
 
-    /// The estimate, in milliseconds.
+    /// The current estimate, in milliseconds.
     pub fn get_ms(&self) -> f64 {
         self.estimate_ms
     }
 }
 
-/// Follows the least of the latest latencies.
+/// Tracks the minimum of the recent latencies.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastLatency {
-    least_ms: Option<f64>,
+    minimum_ms: Option<f64>,
 }
 
-/// Share by which the least latency rises with each larger one, so that it forgets upstreams that are gone. Not measured: about
-/// the last hundred count.
-const LEAST_RISE_SHARE: f64 = 0.01;
+/// Share by which the minimum rises with each larger latency, so that it forgets upstreams that are gone:
+/// about the last hundred latencies count.
+const MINIMUM_RISE_SHARE: f64 = 0.01;
 
 impl LeastLatency {
-    /// Records one latency.
-    pub fn record(&mut self, time_ms: f64) {
-        let risen_ms = self.least_ms.map_or(time_ms, |least_ms| least_ms * (1.0 + LEAST_RISE_SHARE));
-        self.least_ms = Some(time_ms.min(risen_ms));
+    /// Records one latency, in milliseconds.
+    pub fn record(&mut self, latency_ms: f64) {
+        let raised_ms =
+            self.minimum_ms.map_or(latency_ms, |minimum_ms| minimum_ms * (1.0 + MINIMUM_RISE_SHARE));
+        self.minimum_ms = Some(latency_ms.min(raised_ms));
     }
 
-    /// The least latency, in milliseconds; none before the first.
+    /// The recent minimum, in milliseconds; `None` before the first latency.
     pub fn get_ms(&self) -> Option<f64> {
-        self.least_ms
+        self.minimum_ms
     }
 }
--- a/crates/pointvane-dispatch/src/load_when_sent.rs
+++ b/crates/pointvane-dispatch/src/load_when_sent.rs
@@ -1,14 +1,15 @@
-//! What was known of an upstream's load when a request was sent there: by it the end of the request is judged.
+//! Load of an upstream at the time when a request was sent to it; the outcome of the request is interpreted
+//! by it.
 
-/// What was known of an upstream's load when a request was sent there.
+/// What was known of the load of an upstream when a request was sent to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadWhenSent {
-    /// Share of its slots that were taken, this request included.
+    /// Share of its slots that were in use, counting this request.
     pub occupancy: f32,
-    /// Expected latency, as a multiple of uncontended work.
+    /// Expected latency, as a multiple of that at an uncontended upstream.
     pub expected_latency: f32,
-    /// Its slowdown by the neighbours' noise, as a multiple of its usual speed.
+    /// Slowdown caused by noisy neighbours, as a multiple of its normal service time.
     pub slowdown: f32,
-    /// Whether this rests on a report that was current.
+    /// Whether these values rest on a current load report.
     pub is_current: bool,
 }
--- a/crates/pointvane-dispatch/src/route_times.rs
+++ b/crates/pointvane-dispatch/src/route_times.rs
@@ -1,4 +1,4 @@
-//! What a node has measured of a route's latencies; hedging, admission and ejection start from these figures.
+//! Latency estimates of one route at this node, used by hedging, admission and ejection.
 
 use {
     crate::{
@@ -8,33 +8,34 @@
     pointvane_core::RouteRule,
 };
 
-/// Quantile of uncontended latencies that serves as the route's baseline: the median, which a few slow requests don't move.
+/// Quantile of uncontended latencies used as the route's baseline: the median, which few slow requests do not
+/// move.
 const BASELINE_QUANTILE: f64 = 0.5;
-/// First estimate of the answer times' quantile, as a share of the target latency. Not measured.
-const FIRST_ANSWER_SHARE: f64 = 0.5;
-/// First estimate of the baseline, as a share of the target latency. Not measured.
-const FIRST_BASELINE_SHARE: f64 = 0.25;
+/// Initial estimate of the answer time quantile, as a share of the target latency.
+const INITIAL_ANSWER_SHARE: f64 = 0.5;
+/// Initial estimate of the baseline, as a share of the target latency.
+const INITIAL_BASELINE_SHARE: f64 = 0.25;
 
-/// Share of the least latency seen lately below which no upstream is expected to finish a request. Not measured: half of it leaves
-/// room for the smallest requests.
-const FINISH_SHARE: f64 = 0.5;
+/// Share of the recent minimum latency below which no upstream is expected to finish a request; under 1,
+/// since the smallest requests take less time.
+const FINISH_MINIMUM_SHARE: f64 = 0.5;
 
-/// Latencies of one route's requests.
+/// Latency estimates of one route.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteTimes {
-    answer: LatencyQuantile,
+    answer_quantile: LatencyQuantile,
     baseline: LatencyQuantile,
-    least: LeastLatency,
+    minimum: LeastLatency,
 }
 
 impl RouteTimes {
-    /// Estimates from the route's target latency, before anything was measured.
+    /// Creates the initial estimates from the target latency of the route.
     pub fn new(route: &RouteRule) -> Self {
         let target_ms = route.target_latency_ms as f64;
         Self {
-            answer: LatencyQuantile::new(HEDGE_QUANTILE, target_ms * FIRST_ANSWER_SHARE),
-            baseline: LatencyQuantile::new(BASELINE_QUANTILE, target_ms * FIRST_BASELINE_SHARE),
-            least: LeastLatency::default(),
+            answer_quantile: LatencyQuantile::new(HEDGE_QUANTILE, target_ms * INITIAL_ANSWER_SHARE),
+            baseline: LatencyQuantile::new(BASELINE_QUANTILE, target_ms * INITIAL_BASELINE_SHARE),
+            minimum: LeastLatency::default(),
         }
     }
 
@@ -43,26 +44,29 @@
         self.baseline.get_ms()
     }
 
-    /// Whether a request with so much time left, in milliseconds, cannot be finished by any upstream, as far as was measured.
-    pub fn cannot_finish(&self, left_ms: f64) -> bool {
-        self.least.get_ms().is_some_and(|least_ms| left_ms < least_ms * FINISH_SHARE)
+    /// Whether, by the latencies recorded so far, no upstream can finish a request with `remaining_ms`
+    /// milliseconds left; false before the first.
+    pub fn cannot_finish(&self, remaining_ms: f64) -> bool {
+        self.minimum.get_ms().is_some_and(|minimum_ms| remaining_ms < minimum_ms * FINISH_MINIMUM_SHARE)
     }
 
-    /// Time after which a request of the route gets a second attempt, in milliseconds; none if it may not.
+    /// Time after which a request of the route gets a hedge, in milliseconds; `None` if its requests may not
+    /// be repeated.
     pub fn hedge_after_ms(&self, route: &RouteRule) -> Option<f64> {
-        hedge_after_ms(route, self.answer.get_ms())
+        hedge_after_ms(route, self.answer_quantile.get_ms())
     }
 
-    /// Records the time from a request's arrival to its answer.
+    /// Records the time from a request's arrival to its answer, in milliseconds.
     pub fn record_answer(&mut self, time_ms: f64) {
-        self.answer.record(time_ms);
+        self.answer_quantile.record(time_ms);
     }
 
-    /// Records the latency of one successful attempt of which `expected` was expected, as a multiple of the baseline; returns the
-    /// upstream's slowdown, its latency as a multiple of the baseline.
-    pub fn record_attempt(&mut self, latency_ms: f64, expected: f64) -> f32 {
-        self.baseline.record(latency_ms / expected);
-        self.least.record(latency_ms);
+    /// Records the latency of one successful attempt. `expected_multiple` is its expected latency as a
+    /// multiple of the baseline. Returns the slowdown of the upstream: the measured latency as a multiple of
+    /// the baseline.
+    pub fn record_attempt(&mut self, latency_ms: f64, expected_multiple: f64) -> f32 {
+        self.baseline.record(latency_ms / expected_multiple);
+        self.minimum.record(latency_ms);
         (latency_ms / self.baseline.get_ms()) as f32
     }
 }
--- a/crates/pointvane-dispatch/tests/suspensions.rs
+++ b/crates/pointvane-dispatch/tests/suspensions.rs
@@ -1,7 +1,8 @@
-//! A machine that was suspended for 0.5 to 20 s, at each step of a request, a pause, a probe, a budget and a relay, as the decisions see it: the
-//! clock has gone on, and nothing is fresher than it is.
+//! Effects of a VM suspension of 0.5 to 20 s on searches, sends, back-offs, warm-ups, ejections, budgets and
+//! relays: the clock has advanced meanwhile, and no state is newer than it was before.
 //!
-//! A real suspension cannot be brought about here; that the clock counts it rests on `CLOCK_BOOTTIME` (`pointvane-telemetry/src/clock.rs`).
+//! The tests advance the time instead of suspending the machine. That the real clock counts suspended time
+//! rests on `CLOCK_BOOTTIME` (`pointvane-telemetry/src/clock.rs`).
 
 mod common;
 
@@ -21,7 +22,7 @@
 const BEGIN_US: u64 = 100 * S;
 const SERVICE: &str = "dispatch";
 const OPTIONS: SearchOptions = SearchOptions { probes: true, first_round: 2, second_round: 4 };
-/// Lengths of suspensions, in milliseconds.
+/// Durations of suspensions, in milliseconds.
 const SUSPENDED_MS: [u64; 6] = [500, 1_000, 2_500, 5_000, 10_000, 20_000];
 const IDLE: UpstreamLoad = UpstreamLoad { running: 0, waiting: 0, slots: 3, slowdown_percent: 100 };
 
@@ -46,114 +47,120 @@
 }
 
 #[gtest]
-fn a_load_report_from_before_is_not_fresh() {
+fn a_load_report_from_before_a_suspension_is_stale() {
     for suspended_ms in SUSPENDED_MS {
         let (mut pool, key) = pool();
         pool.record_load(key, IDLE, BEGIN_US);
-        let awake_us = BEGIN_US + suspended_ms * MS;
-        expect_that!(pool.is_uncontended(key, awake_us), eq(false), "{suspended_ms} ms");
-        let step = search(awake_us + 10 * MS).next(&mut pool, awake_us);
-        expect_that!(step, matches_pattern!(SearchStep::Probe { .. }), "{suspended_ms} ms: it asks anew");
+        let resumed_at_us = BEGIN_US + suspended_ms * MS;
+        expect_that!(pool.is_uncontended(key, resumed_at_us), eq(false), "{suspended_ms} ms");
+        let step = search(resumed_at_us + 10 * MS).next(&mut pool, resumed_at_us);
+        expect_that!(step, matches_pattern!(SearchStep::Probe { .. }), "{suspended_ms} ms: it probes again");
     }
 }
 
-/// The answer to a probe came before the suspension and is read after it, when the search's time is over.
+/// The answer to a probe arrives before the suspension and is read after it, when the search's time is over.
 #[gtest]
-fn a_search_that_slept_chooses_by_what_is_still_known() {
+fn a_search_interrupted_by_a_suspension_chooses_a_contended_upstream() {
     for suspended_ms in SUSPENDED_MS {
         let (mut pool, key) = pool();
         let mut search = search(BEGIN_US + 10 * MS);
         expect_that!(search.next(&mut pool, BEGIN_US), matches_pattern!(SearchStep::Probe { .. }));
         pool.record_load(key, IDLE, BEGIN_US);
-        let awake_us = BEGIN_US + suspended_ms * MS;
-        expect_that!(search.answered(key, &pool, awake_us), eq(false), "{suspended_ms} ms");
-        expect_that!(search.next(&mut pool, awake_us), eq(&SearchStep::Done(Found::Contended(key))));
+        let resumed_at_us = BEGIN_US + suspended_ms * MS;
+        expect_that!(search.answered(key, &pool, resumed_at_us), eq(false), "{suspended_ms} ms");
+        expect_that!(search.next(&mut pool, resumed_at_us), eq(&SearchStep::Done(Found::Contended(key))));
     }
 }
 
-/// Suspended between the choice and the first byte: the upstream began to leave meanwhile, by an entry that is read first.
+/// The VM is suspended between the choice of an upstream and the send; meanwhile the upstream starts
+/// draining, and that entry is read before the send.
 #[gtest]
-fn the_last_look_before_a_send_sees_what_was_read_after_the_suspension() {
+fn eligibility_is_checked_before_a_send_after_a_suspension() {
     for suspended_ms in SUSPENDED_MS {
         let (mut pool, key) = pool();
-        let awake_us = BEGIN_US + suspended_ms * MS;
-        pool.upsert(UpstreamRecord { draining: true, ..record("a", 2) }, awake_us);
-        expect_that!(pool.begin_send(key, awake_us), err(eq(Ineligible::Draining)), "{suspended_ms} ms");
+        let resumed_at_us = BEGIN_US + suspended_ms * MS;
+        pool.upsert(UpstreamRecord { draining: true, ..record("a", 2) }, resumed_at_us);
+        expect_that!(pool.begin_send(key, resumed_at_us), err(eq(Ineligible::Draining)), "{suspended_ms} ms");
     }
 }
 
-/// A pause of 3 s that an upstream asked for right before: it is over after 3 s of the upstream's time, no sooner and no later.
+/// An upstream asks for a back-off of 3 s right before the suspension; it ends after 3 s including the
+/// suspended time.
 #[gtest]
-fn a_pause_ends_by_the_time_that_has_passed_for_its_upstream() {
+fn a_back_off_includes_suspended_time() {
     for suspended_ms in SUSPENDED_MS {
         let (mut pool, key) = pool();
         pool.record_back_off(key, 3 * S, BEGIN_US);
-        let awake_us = BEGIN_US + suspended_ms * MS;
+        let resumed_at_us = BEGIN_US + suspended_ms * MS;
         let is_over = suspended_ms >= 3_000;
-        expect_that!(pool.begin_send(key, awake_us).is_ok(), eq(is_over), "{suspended_ms} ms");
+        expect_that!(pool.begin_send(key, resumed_at_us).is_ok(), eq(is_over), "{suspended_ms} ms");
     }
 }
 
-/// A trial after a pause whose request slept: another one may go once its time is over.
+/// After a back-off one trial request is sent, and the VM is suspended before it ends. Guards against a trial
+/// that blocks further requests after its time is over.
 #[gtest]
-fn a_trial_that_slept_blocks_nobody_for_long() {
+fn a_suspended_trial_request_does_not_block_others() {
     for suspended_ms in SUSPENDED_MS {
         let (mut pool, key) = pool();
         pool.record_back_off(key, S, BEGIN_US);
         expect_that!(pool.begin_send(key, BEGIN_US + S), ok(anything()));
-        let awake_us = BEGIN_US + S + suspended_ms * MS;
-        expect_that!(pool.begin_send(key, awake_us), ok(anything()), "{suspended_ms} ms");
+        let resumed_at_us = BEGIN_US + S + suspended_ms * MS;
+        expect_that!(pool.begin_send(key, resumed_at_us), ok(anything()), "{suspended_ms} ms");
     }
 }
 
-/// A cold upstream has warmed up meanwhile, and an ejected one is a candidate again, by the time that has passed.
+/// Suspended time counts towards warm-up and ejection: a cold upstream is warm and an ejected one eligible
+/// afterwards.
 #[gtest]
-fn what_ends_with_time_has_ended() {
+fn warm_up_and_ejection_end_during_a_suspension() {
     for suspended_ms in SUSPENDED_MS {
         let (mut pool, key) = pool();
         pool.record_warm_up(key, 2_000, BEGIN_US);
         (0..3).for_each(|_| pool.get_mut(key).unwrap().was_unresponsive(BEGIN_US));
-        let awake_us = BEGIN_US + suspended_ms * MS;
+        let resumed_at_us = BEGIN_US + suspended_ms * MS;
         let state = pool.get(key).unwrap();
-        expect_that!(state.is_cold(awake_us), eq(suspended_ms < 2_000), "{suspended_ms} ms");
-        expect_that!(state.is_ejected(awake_us), eq(false), "{suspended_ms} ms");
+        expect_that!(state.is_cold(resumed_at_us), eq(suspended_ms < 2_000), "{suspended_ms} ms");
+        expect_that!(state.is_ejected(resumed_at_us), eq(false), "{suspended_ms} ms");
     }
 }
 
-/// Tokens of the time asleep are not saved up beyond the bound: as many probes follow as after an idle time of any length.
+/// Probe tokens of the suspended time are not saved beyond the bound, so at most as many probes follow as
+/// after any idle time.
 #[gtest]
-fn a_budget_saves_no_more_than_its_bound() {
+fn a_suspension_saves_no_more_probes_than_the_bound() {
     let limits = BudgetLimits { retry_ratio: 0.2, retry_slack: 60.0, probes_per_upstream_per_s: 60.0 };
-    let at_once = |idle_us: u64| {
+    let burst_after = |idle_us: u64| {
         let mut budgets = NodeBudgets::new(BEGIN_US);
         budgets.divide(20, 30, &limits, BEGIN_US);
         while budgets.take_probe(BEGIN_US) {}
         (0..100_000).take_while(|_| budgets.take_probe(BEGIN_US + idle_us)).count()
     };
-    let most = at_once(3_600 * S);
+    let most_probes = burst_after(3_600 * S);
     for suspended_ms in SUSPENDED_MS {
-        expect_that!(at_once(suspended_ms * MS), le(most), "{suspended_ms} ms");
+        expect_that!(burst_after(suspended_ms * MS), le(most_probes), "{suspended_ms} ms");
     }
     let share_per_s = 60.0 * 30.0 / 20.0;
-    expect_that!(most as f64, le(share_per_s * f64::from(PROBE_WINDOW_S as u32)));
+    expect_that!(most_probes as f64, le(share_per_s * f64::from(PROBE_WINDOW_S as u32)));
 }
 
-/// Its lease is over, so a follower asks for what it missed, and what it tells others of its last word is as old as it is.
+/// After the suspension a follower's lease has expired, so it asks for the changes that it missed, and the
+/// age that it relays with its last state includes the suspended time.
 #[gtest]
-fn a_follower_that_slept_reads_and_claims_nothing_newer_than_it_knows() {
+fn a_suspended_follower_reads_again_and_reports_the_full_age_of_its_state() {
     for suspended_ms in SUSPENDED_MS {
         let mut reader =
             PlatformReader::new(ReaderOptions { start_queries: 0, ..ReaderOptions::default() }, 1);
         reader.next(BEGIN_US);
         reader.page_read(page(5, vec![told("a", 1)]), std::iter::empty(), BEGIN_US);
         reader.compare_with_peers(ReaderRole::Follower, 5, BEGIN_US);
-        let awake_us = BEGIN_US + suspended_ms * MS;
-        let age_ms = reader.age_ms(awake_us).unwrap();
+        let resumed_at_us = BEGIN_US + suspended_ms * MS;
+        let age_ms = reader.age_ms(resumed_at_us).unwrap();
         expect_that!(age_ms, ge(suspended_ms), "{suspended_ms} ms");
-        let relayed: Option<Relay> = reader.relay(awake_us);
+        let relayed: Option<Relay> = reader.relay(resumed_at_us);
         expect_that!(relayed.is_none_or(|relay| relay.age_ms >= suspended_ms), eq(true));
         if suspended_ms >= 10_000 {
-            let calls = !matches!(reader.next(awake_us), ReaderCall::Wait { .. });
+            let calls = !matches!(reader.next(resumed_at_us), ReaderCall::Wait { .. });
             expect_that!(calls, eq(true), "{suspended_ms} ms");
         }
     }
