--- a/crates/pointvane-dispatch/benches/candidate_quantiles.rs
+++ b/crates/pointvane-dispatch/benches/candidate_quantiles.rs
@@ -1,8 +1,6 @@
-//! What ranking the upstreams of a service for one request costs at the median and in one of a hundred requests, and how often it allocates:
-//! `cargo bench -p pointvane-dispatch --bench candidate_quantiles`. Single calls are timed, the clock's own cost included.
-//!
-//! Measured beside heavy load, medians of three plays, p50 and p99: before what upstreams say of themselves was asked for, 4.1 and 6.9 us for 271 upstreams, 4.6 and 8.5
-//! us for 1,080, 6.2 and 16.0 us for 10,000; with it 4.3 and 9.5, 4.7 and 8.7, 6.6 and 19.8 us; 8 allocations each time. Single plays differ by more.
+//! Median and 99th percentile of the time to rank the upstreams of a service for one request, and the
+//! allocations: `cargo bench -p pointvane-dispatch --bench candidate_quantiles`. Calls are timed one by one,
+//! including the cost of reading the clock.
 
 use {
     pointvane_core::UpstreamRecord,
@@ -10,7 +8,7 @@
     std::{hint::black_box, time::Instant},
 };
 
-/// Upstreams of a service: of the shifted work's larger one, of a large deployment, and as many as a node must bear.
+/// Numbers of upstreams of a service: medium, large, and the most that a node has to support.
 const SIZES: [usize; 3] = [271, 1_080, 10_000];
 const CALLS: usize = 100_000;
 const NOW_US: u64 = 10_000_000;
@@ -39,20 +37,20 @@
         let mut rank = || black_box(pool.candidates(&service, &wanted, black_box(NOW_US)));
         let mut times_ns: Vec<u128> = (0..CALLS)
             .map(|_| {
-                let began = Instant::now();
+                let started = Instant::now();
                 rank();
-                began.elapsed().as_nanos()
+                started.elapsed().as_nanos()
             })
             .collect();
         times_ns.sort_unstable();
-        let quantile = |share: usize| times_ns[CALLS * share / 100];
-        let allocated = allocation_counter::measure(|| _ = rank());
+        let percentile = |percent: usize| times_ns[CALLS * percent / 100];
+        let allocations = allocation_counter::measure(|| _ = rank());
         println!(
             "{size} upstreams: p50 {} ns, p99 {} ns, {} allocations, {} bytes",
-            quantile(50),
-            quantile(99),
-            allocated.count_total,
-            allocated.bytes_total
+            percentile(50),
+            percentile(99),
+            allocations.count_total,
+            allocations.bytes_total
         );
     }
 }
--- a/crates/pointvane-dispatch/benches/candidates.rs
+++ b/crates/pointvane-dispatch/benches/candidates.rs
@@ -1,8 +1,5 @@
-//! Cost of ranking the upstreams of a service for one request: `cargo bench -p pointvane-dispatch --bench candidates`.
-//!
-//! Measured (medians, beside other load): 3.2 us for 271 upstreams, 3.7 us for 1,080. Before eligibility was asked for each of them, when draining and
-//! ejection alone were looked at: 2.6 and 3.2 us. Before and after what upstreams say of themselves was asked for too, three pairs of medians beside heavy
-//! load: 5.9, 7.5, 4.7 and 5.2, 5.5, 6.5 us; 7.8, 6.2, 5.3 and 5.5, 7.0, 5.9 us: no difference beyond noise.
+//! Time to rank the upstreams of a service for one request: `cargo bench -p pointvane-dispatch --bench
+//! candidates`.
 
 use {
     criterion::{Criterion, criterion_group, criterion_main},
@@ -11,7 +8,7 @@
     std::hint::black_box,
 };
 
-/// Upstreams of a service: of the shifted work's larger one, and of a large deployment.
+/// Numbers of upstreams of a service: medium and large.
 const SIZES: [usize; 2] = [271, 1_080];
 const DATA_CENTRES: [&str; 3] = ["one", "two", "three"];
 const NOW_US: u64 = 10_000_000;
--- a/crates/pointvane-dispatch/src/ineligible.rs
+++ b/crates/pointvane-dispatch/src/ineligible.rs
@@ -1,37 +1,38 @@
-//! Why an upstream may get no request now. Which of these holds is decided in `eligibility.rs`.
+//! Reasons why an upstream may get no request now. `eligibility.rs` decides which of them applies.
 
 use pointvane_core::ErrorKind;
 
-/// Why an upstream gets no new work now.
+/// Why an upstream may get no request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ineligible {
     /// It is no longer known.
     Gone,
     /// It is draining.
     Draining,
-    /// It says in its answers that it is leaving.
+    /// It announced in a response that it is leaving.
     Leaving,
-    /// Operators are emptying its data centre.
+    /// Its data centre is being evacuated by operators.
     Evacuated,
-    /// It asked this node for no requests for a time, or one is on trial there after that.
+    /// It asked this node to send no requests for some time, or that time is over and a single trial request
+    /// is in flight.
     BackingOff,
-    /// It advertises a limit, and this node's part of that is spent, or it has none.
+    /// It advertises a request limit, and this node's share of it is used up or zero.
     Limited,
-    /// It is cold, and this node's share of what it bears is spent.
+    /// It is warming up, and this node's share of the requests that it can take meanwhile is used up.
     Cold,
-    /// Its region may not serve the request.
+    /// It is outside the regions that may serve the request.
     OutsideRegions,
-    /// It has failed. It is used all the same when there is no other.
+    /// It was ejected after failures. It still gets requests if the service has no other upstream.
     Ejected,
 }
 
 impl Ineligible {
-    /// Whether it holds though the service has no other upstream.
+    /// Whether the reason applies even if the service has no other upstream.
     pub const fn is_binding(self) -> bool {
         !matches!(self, Self::Ejected)
     }
 
-    /// The reason's name for operators.
+    /// The name of the reason in log lines, metrics and the status report.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Gone => "gone",
@@ -46,11 +47,11 @@
         }
     }
 
-    /// How a request is answered that found no upstream for this reason.
+    /// The error returned for a request that found no upstream for this reason.
     pub const fn error(self) -> ErrorKind {
         match self {
             Self::Evacuated => ErrorKind::Evacuated,
-            // A share comes soon.
+            // Temporary: this node draws again for the upstream in the next interval.
             Self::Cold => ErrorKind::Overloaded,
             Self::BackingOff => ErrorKind::UpstreamsBackingOff,
             Self::Limited => ErrorKind::UpstreamsLimited,
--- a/crates/pointvane-dispatch/src/pool.rs
+++ b/crates/pointvane-dispatch/src/pool.rs
@@ -1,7 +1,8 @@
-//! All upstreams that a node knows: what the platform lists, what they report, which are forgotten.
+//! The upstreams known to a node: those listed by the platform, their current state, and those removed
+//! recently.
 //!
-//! Owns the [`UpstreamState`] of each, and the evacuations. Which of them may get work is decided in `eligibility.rs`, which a request
-//! should go to in `ranking.rs`.
+//! Owns the [`UpstreamState`] of each upstream, and the evacuations. Which upstreams may get work is decided
+//! in `eligibility.rs`, and which of them a request should go to in `ranking.rs`.
 
 use {
     crate::{
@@ -18,19 +19,20 @@
     std::collections::{BTreeMap, BTreeSet, HashMap},
 };
 
-/// Removed upstreams whose last entry is remembered. Bounds memory.
+/// Maximum number of removed upstreams that are remembered, to bound memory; all are dropped when it is
+/// reached.
 const REMOVED_MAX: usize = 1_024;
 
-/// What is remembered of an upstream that was removed.
+/// State kept for an upstream that was removed.
 #[derive(Debug)]
 struct RemovedUpstream {
-    /// Its last entry: an older one that comes late doesn't bring it back.
+    /// Its last entry: an older entry that arrives late does not add the upstream again.
     last: UpstreamRecord,
-    /// What it said of itself: it holds when the entry of the same life returns.
+    /// Its own notices: they apply again if the entry of the same incarnation returns.
     notices: Notices,
 }
 
-/// All upstreams that a node knows.
+/// The upstreams known to a node.
 #[derive(Debug)]
 pub struct Pool {
     pub(crate) options: RankingOptions,
@@ -41,17 +43,17 @@
     pub(crate) by_service: HashMap<Name, ServiceUpstreams>,
     pub(crate) services: HashMap<Name, ServiceState>,
     removed: HashMap<Name, RemovedUpstream>,
-    /// Upstreams whose limits are followed (see `limits.rs`).
+    /// Upstreams whose advertised limits are tracked (see `limits.rs`).
     pub(crate) limited: BTreeSet<UpstreamKey>,
     pub(crate) evacuations: Evacuations,
-    /// The region of each data centre, as far as it is known.
+    /// The region of each data centre for which it is known.
     pub(crate) regions: BTreeMap<Name, Name>,
     pub(crate) warm_up: WarmUpShares,
     pub(crate) rng: SmallRng,
 }
 
 impl Pool {
-    /// A pool that knows no upstream yet, of a node in `data_centre`.
+    /// An empty pool of a node in `data_centre`. `seed` seeds all random choices of the pool.
     pub fn new(options: RankingOptions, data_centre: Name, seed: u64) -> Self {
         Self {
             options,
@@ -70,17 +72,18 @@
         }
     }
 
-    /// Takes the platform's entry of an upstream; false if it changes nothing.
+    /// Adds or updates an upstream by its entry on the platform; false if nothing changes.
     ///
-    /// An upstream that has started again, that serves elsewhere or something else is a new one: of its load, its failures, its draining and
-    /// this node's requests there nothing holds any more.
+    /// An upstream with another start time, address or service is a new incarnation: its load, failures,
+    /// draining state and requests in flight start from scratch. Entries older than the known one are
+    /// ignored.
     pub fn upsert(&mut self, record: UpstreamRecord, now_us: u64) -> bool {
         if let Some(state) = self.by_id.get(&record.id).and_then(|key| self.upstreams.get_mut(key)) {
-            let same = record == state.record && state.grace_until_us.is_none();
-            if record.age() < state.record.age() || same {
+            let is_unchanged = record == state.record && state.grace_until_us.is_none();
+            if record.age() < state.record.age() || is_unchanged {
                 return false;
             }
-            if is_same_life(&state.record, &record) {
+            if is_same_incarnation(&state.record, &record) {
                 state.update(record, now_us);
                 return true;
             }
@@ -102,26 +105,27 @@
         let draw = self.rng.random();
         self.by_service.entry(record.service.clone()).or_default().add(key, near, draw);
         self.services.entry(record.service.clone()).or_insert_with(|| ServiceState::new(record.slots));
-        let notices = self.notices_of(&record, now_us);
+        let notices = self.initial_notices(&record, now_us);
         if notices.limit.per_1000_s().is_some() {
             self.limited.insert(key);
         }
         self.upstreams.insert(key, UpstreamState { notices, ..UpstreamState::new(record, now_us) });
     }
 
-    /// What holds of what an upstream said of itself before this entry came. Without a start nothing tells whether it is the same life.
-    fn notices_of(&self, record: &UpstreamRecord, now_us: u64) -> Notices {
+    /// The notices that still apply to an upstream whose entry was removed earlier. Without a start time in
+    /// the entry, it is unknown whether this is the same incarnation, and it is treated as a later one.
+    fn initial_notices(&self, record: &UpstreamRecord, now_us: u64) -> Notices {
         let Some(RemovedUpstream { last, notices }) = self.removed.get(&record.id) else {
             return Notices::default();
         };
-        let is_known_life = record.born_ms.is_some() && is_same_life(last, record);
-        if is_known_life { *notices } else { notices.for_later_life(now_us) }
+        let is_known_incarnation = record.born_ms.is_some() && is_same_incarnation(last, record);
+        if is_known_incarnation { *notices } else { notices.for_later_life(now_us) }
     }
 
-    /// Takes note that an upstream's entry is gone; true if the upstream is forgotten at once.
+    /// Handles the removal of an upstream's entry from the platform; true if the upstream is removed at once.
     ///
-    /// Before `grace_until_us` the entry may only have expired while the store was away: the upstream stays in use until
-    /// then, unless it was draining or leaving.
+    /// Before `grace_until_us` the entry may only have expired while the store was unavailable, so the
+    /// upstream stays in use until then, unless it was draining or leaving.
     pub fn entry_removed(&mut self, id: &Name, grace_until_us: u64, now_us: u64) -> bool {
         let state = self.by_id.get(id).and_then(|key| self.upstreams.get_mut(key));
         if now_us < grace_until_us
@@ -133,16 +137,17 @@
         self.remove(id)
     }
 
-    /// Forgets upstreams whose grace period is over; returns their identities.
+    /// Removes upstreams whose grace period is over; returns their identities.
     pub fn forget_expired(&mut self, now_us: u64) -> Vec<Name> {
-        let over = |state: &&UpstreamState| state.grace_until_us.is_some_and(|until_us| now_us >= until_us);
+        let is_expired =
+            |state: &&UpstreamState| state.grace_until_us.is_some_and(|until_us| now_us >= until_us);
         let expired: Vec<Name> =
-            self.upstreams.values().filter(over).map(|state| state.id().clone()).collect();
+            self.upstreams.values().filter(is_expired).map(|state| state.id().clone()).collect();
         expired.iter().for_each(|id| _ = self.remove(id));
         expired
     }
 
-    /// Forgets an upstream; false if it was not known.
+    /// Removes an upstream; false if it was not known.
     pub fn remove(&mut self, id: &Name) -> bool {
         let Some(key) = self.by_id.remove(id) else {
             return false;
@@ -161,12 +166,14 @@
         true
     }
 
-    /// Sets the deployment's bound on cold upstreams, and the most nodes that were ever seen at once.
+    /// Sets the deployment's bound on requests to cold upstreams, and the largest number of nodes ever seen
+    /// at once.
     pub fn share_warm_up(&mut self, bound: WarmUpBound, nodes: usize, now_us: u64) {
-        self.warm_up.share(bound, nodes, now_us);
+        self.warm_up.set_bound(bound, nodes, now_us);
     }
 
-    /// Sets the requests a second that a cold upstream of each service bears; services without a rate are left out.
+    /// Sets the requests per second that a cold upstream of each service can take. Services without a rate
+    /// are absent.
     pub fn set_warm_up_rates(&mut self, rates_per_s: HashMap<Name, f64>) {
         self.warm_up.set_rates(rates_per_s);
     }
@@ -176,17 +183,18 @@
         self.regions = regions;
     }
 
-    /// Takes an entry on the evacuation of a data centre; true if it changes whether that may get work.
+    /// Applies an entry on the evacuation of a data centre; true if it changes whether the data centre may
+    /// get work.
     pub fn apply_evacuation(&mut self, evacuation: Evacuation) -> bool {
         self.evacuations.apply(evacuation)
     }
 
-    /// The evacuations that hold.
+    /// The active evacuations.
     pub fn evacuations(&self) -> impl Iterator<Item = &Evacuation> {
         self.evacuations.active()
     }
 
-    /// The platform's entries of all upstreams but those in their grace period.
+    /// The platform's entries of all upstreams except those in their grace period.
     pub fn records(&self) -> impl Iterator<Item = &UpstreamRecord> {
         let listed = self.upstreams.values().filter(|state| state.grace_until_us.is_none());
         listed.map(|state| &state.record)
@@ -197,7 +205,7 @@
         self.by_id.get(id).and_then(|key| self.upstreams.get(key)).map(|state| &state.record)
     }
 
-    /// The key of an upstream; none if it is not known.
+    /// The key of an upstream, if it is known.
     pub(crate) fn key_of(&self, id: &Name) -> Option<UpstreamKey> {
         self.by_id.get(id).copied()
     }
@@ -207,12 +215,12 @@
         self.by_id.keys()
     }
 
-    /// What the platform lists, as the changes by which it became known: all entries but those in their grace period.
+    /// The state of the platform as a list of changes, without upstreams in their grace period.
     pub fn listed(&self) -> impl Iterator<Item = Change> {
         self.records().cloned().map(Change::Upstream).chain(self.evacuation_changes())
     }
 
-    /// The same, entries in their grace period included.
+    /// The known state as a list of changes, including upstreams in their grace period.
     pub fn known(&self) -> impl Iterator<Item = Change> {
         let known = self.upstreams.values().map(|state| Change::Upstream(state.record.clone()));
         known.chain(self.evacuation_changes())
@@ -232,17 +240,17 @@
         self.upstreams.is_empty()
     }
 
-    /// The state of an upstream; none once it is forgotten.
+    /// The state of an upstream; none once it has been removed.
     pub fn get(&self, key: UpstreamKey) -> Option<&UpstreamState> {
         self.upstreams.get(&key)
     }
 
-    /// The same, to be changed.
+    /// Mutable access to the state of an upstream; none once it has been removed.
     pub fn get_mut(&mut self, key: UpstreamKey) -> Option<&mut UpstreamState> {
         self.upstreams.get_mut(&key)
     }
 }
 
-fn is_same_life(one: &UpstreamRecord, other: &UpstreamRecord) -> bool {
+fn is_same_incarnation(one: &UpstreamRecord, other: &UpstreamRecord) -> bool {
     (one.born_ms, &one.service, one.address) == (other.born_ms, &other.service, other.address)
 }
--- a/crates/pointvane-dispatch/src/ranking.rs
+++ b/crates/pointvane-dispatch/src/ranking.rs
@@ -1,10 +1,12 @@
-//! Ranking: which upstreams of a service a request should go to, the most promising first.
+//! Ranking: which upstreams of a service a request should go to, the best first.
 //!
-//! Decided for each search (see `search.rs`). Inputs: the cost of each upstream that may get work (`eligibility.rs`), whether it is in
-//! the node's data centre, the size of the request's body, the upstreams that the request was sent to before. Ejected ones
-//! are ranked only when there are no others. A random part is added to each cost, so that nodes with the same
-//! knowledge spread. Tests: `slow_and_full_upstreams_come_after_idle_ones`,
-//! `near_upstreams_come_first_and_the_more_so_the_larger_the_body`, `one_that_was_tried_or_is_draining_is_no_candidate`.
+//! Decided for each search (see `search.rs`). Inputs: the cost of each upstream that may get work
+//! (`eligibility.rs`), whether it is in the node's data centre, the size of the request's body, and the
+//! upstreams the request was sent to before. Ejected upstreams are ranked only if there are no others. Each
+//! cost is multiplied by a random factor, so that nodes with the same information choose different upstreams.
+//! Tests: `slow_and_full_upstreams_come_after_idle_ones`,
+//! `near_upstreams_come_first_and_the_more_so_the_larger_the_body`,
+//! `upstreams_that_were_tried_or_are_draining_are_no_candidates`.
 
 use {
     crate::{
@@ -18,58 +20,61 @@
 /// Bytes in the unit of `far_factor_per_100_kb`.
 const BYTES_PER_100_KB: f32 = 100_000.0;
 
-/// What a request needs of its upstreams.
+/// Criteria by which candidates for a request are selected.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted<'t> {
-    /// Upstreams that it was sent to before.
+    /// Upstreams that the request was sent to before.
     pub tried: &'t [UpstreamKey],
-    /// Size of its body, as far as it is known.
+    /// Size of the request's body in bytes, as far as it is known.
     pub body_bytes: usize,
-    /// How many candidates are wanted.
+    /// Maximum number of candidates.
     pub count: usize,
-    /// The regions whose upstreams may serve it.
+    /// The regions whose upstreams may serve the request.
     pub regions: &'t AllowedRegions,
-    /// How urgent it is, 0 being the most.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u32,
 }
 
 impl Pool {
-    /// Upstreams of a service that may get the request, the most promising first.
-    pub fn candidates(&mut self, service: &Name, wanted: &Wanted<'_>, now_us: u64) -> Vec<UpstreamKey> {
+    /// Upstreams of a service that may get the request, the best first.
+    pub fn candidates(&mut self, service: &Name, criteria: &Wanted<'_>, now_us: u64) -> Vec<UpstreamKey> {
         let Some(upstreams) = self.by_service.get(service) else {
             return Vec::new();
         };
-        // Drawn from a copy, since eligibility borrows the pool.
+        // A separate generator, since the eligibility checks borrow the pool.
         let mut rng = SmallRng::from_rng(&mut self.rng);
-        let untried = |key: UpstreamKey| self.suits(key, wanted, now_us);
-        let usable = |key: UpstreamKey| untried(key) && self.may_get_work(key, now_us);
-        let sound = |key: UpstreamKey| untried(key) && self.eligibility(key, now_us).is_ok();
-        let mut keys = upstreams.subset(sound, &mut rng);
+        let suitable = |key: UpstreamKey| self.suits(key, criteria, now_us);
+        let usable = |key: UpstreamKey| suitable(key) && self.is_usable(key, now_us);
+        let eligible = |key: UpstreamKey| suitable(key) && self.eligibility(key, now_us).is_ok();
+        let mut keys = upstreams.subset(eligible, &mut rng);
         if keys.is_empty() {
             keys = upstreams.subset(usable, &mut rng);
         }
-        let far_factor = self.far_factor(wanted.body_bytes);
+        let far_factor = self.far_factor(criteria.body_bytes);
         let mut ranked: Vec<(f32, UpstreamKey)> = Vec::with_capacity(keys.len());
         for key in keys {
-            let factor = 1.0 + self.options.jitter * self.rng.random::<f32>();
-            ranked.push((self.rank(key, far_factor, now_us) * factor, key));
+            let jitter_factor = 1.0 + self.options.jitter * self.rng.random::<f32>();
+            ranked.push((self.rank(key, far_factor, now_us) * jitter_factor, key));
         }
         ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
-        ranked.into_iter().take(wanted.count).map(|(_, key)| key).collect()
+        ranked.into_iter().take(criteria.count).map(|(_, key)| key).collect()
     }
 
-    /// Whether an upstream is one for this request, if it may get work at all.
-    pub(crate) fn suits(&self, key: UpstreamKey, wanted: &Wanted<'_>, now_us: u64) -> bool {
-        let is_reserved = |state: &UpstreamState| state.limit().is_reserved(wanted.priority, now_us);
-        // Few upstreams advertise limits, so the others cost no look-up.
-        let is_left_to_others =
+    /// Whether an upstream suits this request, apart from its eligibility.
+    pub(crate) fn suits(&self, key: UpstreamKey, criteria: &Wanted<'_>, now_us: u64) -> bool {
+        let is_reserved = |state: &UpstreamState| state.limit().is_reserved(criteria.priority, now_us);
+        // Few upstreams advertise limits; the others need no look-up.
+        let is_limit_reserved =
             self.limited.contains(&key) && self.upstreams.get(&key).is_some_and(is_reserved);
-        !wanted.tried.contains(&key) && self.is_allowed(key, wanted.regions) && !is_left_to_others
+        !criteria.tried.contains(&key)
+            && self.is_in_allowed_region(key, criteria.regions)
+            && !is_limit_reserved
     }
 
+    /// Sort key of an upstream, the lowest being the best.
     fn rank(&self, key: UpstreamKey, far_factor: f32, now_us: u64) -> f32 {
         match self.options.ranking {
-            Ranking::Cost => self.cost_with_distance(key, far_factor, now_us),
+            Ranking::Cost => self.cost_with_locality(key, far_factor, now_us),
             Ranking::InFlight => {
                 self.upstreams.get(&key).map_or(f32::INFINITY, |state| (state.in_flight() + 1) as f32)
             }
@@ -77,14 +82,15 @@
         }
     }
 
-    /// Cost of a request sent there now (see `upstream.rs`); infinite once it is forgotten.
+    /// Cost of a request sent to an upstream now (see `cost.rs`); infinite once the upstream has been
+    /// removed.
     pub fn cost(&self, key: UpstreamKey, now_us: u64) -> f32 {
         let cost =
             |state: &UpstreamState| state.cost(self.services.get(&state.record.service)?, now_us).into();
         self.upstreams.get(&key).and_then(cost).unwrap_or(f32::INFINITY)
     }
 
-    /// Whether an upstream has room for another request that is sent now; not once it is forgotten.
+    /// Whether an upstream has capacity for another request sent now; false once it has been removed.
     pub fn has_room(&mut self, key: UpstreamKey, now_us: u64) -> bool {
         let Some(state) = self.upstreams.get(&key) else {
             return false;
@@ -93,31 +99,32 @@
         self.services.get_mut(&state.record.service).is_some_and(|service| service.curve.admits(occupancy))
     }
 
-    /// How much longer work takes at upstreams of a service whose slots are all taken than at empty ones, as far as was learned.
+    /// Learned latency factor of a service's upstreams with all slots in use, relative to empty ones.
     pub fn full_factor(&self, service: &Name) -> f32 {
         self.services.get(service).map_or(1.0, |service| service.curve.factor(1.0))
     }
 
-    /// What is known of an upstream's load when a request is sent there; none once it is forgotten.
+    /// Snapshot of an upstream's known load, taken when a request is sent; none once it has been removed.
     pub fn load_when_sent(&self, key: UpstreamKey, now_us: u64) -> Option<LoadWhenSent> {
         let state = self.upstreams.get(&key)?;
         let service = self.services.get(&state.record.service)?;
         Some(state.load_when_sent(service, now_us))
     }
 
-    /// The cost, times `far_factor` in other data centres.
-    pub fn cost_with_distance(&self, key: UpstreamKey, far_factor: f32, now_us: u64) -> f32 {
+    /// The cost, times `far_factor` for upstreams in other data centres.
+    pub fn cost_with_locality(&self, key: UpstreamKey, far_factor: f32, now_us: u64) -> f32 {
         let near = self.upstreams.get(&key).is_some_and(|state| state.record.data_centre == self.data_centre);
         self.cost(key, now_us) * if near { 1.0 } else { far_factor }
     }
 
-    /// Factor on the cost of upstreams in other data centres for a request with such a body.
+    /// Factor on the cost of upstreams in other data centres, for a request with a body of `body_bytes`.
     pub fn far_factor(&self, body_bytes: usize) -> f32 {
         let added = body_bytes as f32 / BYTES_PER_100_KB * self.options.far_factor_per_100_kb;
         self.options.far_factor + added.min(self.options.far_factor_added_max)
     }
 
-    /// Whether a fresh report says that the upstream works at once and at its usual speed.
+    /// Whether, by a fresh load report, the upstream would run a request without queueing and near its usual
+    /// speed.
     pub fn is_uncontended(&self, key: UpstreamKey, now_us: u64) -> bool {
         let Some(report) = self.upstreams.get(&key).and_then(UpstreamState::report) else {
             return false;
--- a/crates/pointvane-dispatch/src/ranking_options.rs
+++ b/crates/pointvane-dispatch/src/ranking_options.rs
@@ -1,38 +1,39 @@
-//! How upstreams are ranked: what by, and the constants of ranking. The rule itself is in `ranking.rs`.
+//! Options of ranking, and their defaults. The rule itself is in `ranking.rs`.
 
-/// What upstreams are ranked by.
+/// The quantity upstreams are ranked by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ranking {
-    /// Expected latency.
+    /// The cost: expected latency, raised for failures and for other data centres.
     Cost,
-    /// This node's requests there.
+    /// This node's requests in flight at the upstream.
     InFlight,
-    /// Nothing.
+    /// None: the order is random.
     Random,
 }
 
-/// How upstreams are ranked, and which count as uncontended.
+/// How upstreams are ranked, and which ones count as uncontended.
 #[derive(Clone, Debug)]
 pub struct RankingOptions {
-    /// What upstreams are ranked by.
+    /// The quantity upstreams are ranked by.
     pub ranking: Ranking,
-    /// Largest cost of an uncontended upstream. Not measured.
+    /// Maximum cost of an upstream that counts as uncontended.
     pub uncontended_cost: f32,
-    /// Longest age of the load report of an uncontended upstream, in microseconds.
+    /// Maximum age of the load report of an upstream that counts as uncontended, in microseconds.
     ///
-    /// The neighbours' noise changes about twice a second. 25 ms scored the same within noise on Heatline
-    /// (docs/MEASUREMENTS.md, "The way there"), so the shorter value stayed.
+    /// Noise from co-located workloads changes about twice a second, so a report this young is most likely
+    /// still valid.
     pub report_fresh_us: u64,
     /// Factor on the cost of upstreams in other data centres.
     ///
-    /// It weighs bytes that cross between data centres against shorter work: with 2.0 in place of 1.25 a fifth fewer cross (Roteiro Vivo,
-    /// 0.031 to 0.025 of scale-1's worth), and the worth of thirteen days on six sites was 0.721 in place of 0.718 (docs/DECISIONS_UNDER_LOAD.md).
+    /// Trades traffic between data centres against latency: with 2.0, a fifth fewer bytes cross between data
+    /// centres than with 1.25.
     pub far_factor: f32,
-    /// What each 100 KB of a request's body adds to that factor. Not measured.
+    /// Added to `far_factor` for each 100 KB of a request's body.
     pub far_factor_per_100_kb: f32,
-    /// Most that a body adds to it. Not measured.
+    /// Maximum that a body adds to `far_factor`.
     pub far_factor_added_max: f32,
-    /// Largest random share added to a cost. Not measured: without it, nodes with the same knowledge choose alike.
+    /// Maximum random share added to a cost, so that nodes with the same information choose different
+    /// upstreams.
     pub jitter: f32,
 }
 
--- a/crates/pointvane-dispatch/src/search.rs
+++ b/crates/pointvane-dispatch/src/search.rs
@@ -1,12 +1,14 @@
-//! The search for an upstream as a state machine: which upstreams are probed, how long, and when one is chosen.
+//! The search for an upstream, as a state machine: which upstreams are probed, for how long, and which one is
+//! chosen.
 //!
-//! A search makes passes until it finds an uncontended upstream or its time is over. A pass ranks the candidates; if none
-//! has a fresh, good report it probes the most promising ones, first a few, then some more, and takes the first that
-//! answers well. The machine returns what to do; its caller sends probes, waits, and reports the answers. Probes are
-//! sent right before the request, since a report is worth little after some milliseconds. Where upstreams report no load, the first
-//! of a few that answers its probe is taken, since whoever is slowed by neighbours answers late; where probing is switched off, the
-//! best-ranked candidate at once.
-//! Tests: `tests/search.rs`.
+//! A search makes passes until it finds an uncontended upstream or its time is over. A pass ranks the
+//! candidates. If none of them has a fresh report that shows it uncontended, the pass probes the best-ranked
+//! ones in two rounds and takes the first one that the answer shows to be uncontended. The state machine
+//! returns the next step; its caller sends probes, waits, and reports the answers. Probes are sent
+//! immediately before the request, since a report is outdated after some milliseconds. Where upstreams report
+//! no load, a few are probed and the first to answer is taken, since an upstream slowed by co-located
+//! workloads answers late. Where probing is disabled, the best-ranked candidate is taken at once. Tests:
+//! `tests/search.rs`.
 
 use {
     crate::{
@@ -17,26 +19,27 @@
     std::collections::VecDeque,
 };
 
-/// Share of the target latency for which an uncontended upstream is searched.
+/// Share of the target latency that may be spent on the search for an uncontended upstream.
 ///
-/// Whoever finds none so soon is better told at once.
+/// A caller whose request finds none in that time is better refused early.
 const SEARCH_SHARE: f64 = 0.05;
-/// Shortest search, in milliseconds.
+/// Minimum duration of a search, in milliseconds.
 const SEARCH_MIN_MS: f64 = 5.0;
-/// Candidates probed together where upstreams report no load; probes load upstreams as well.
-const UNREPORTED_ROUND: usize = 3;
+/// Candidates probed per pass where upstreams report no load. Few, since probes load the upstreams too.
+const ROUND_WITHOUT_LOAD_REPORTS: usize = 3;
 /// Pause between two passes, in microseconds.
-const PAUSE_US: u64 = 6_000;
-/// Longest wait for the answers of one round of probes, in microseconds.
-const ROUND_TIMEOUT_US: u64 = 30_000;
-/// The same when the time of the search is over, in microseconds.
+const PASS_PAUSE_US: u64 = 6_000;
+/// Maximum wait for the answers to one round of probes, in microseconds.
+const ROUND_TIMEOUT_MAX_US: u64 = 30_000;
+/// Minimum wait for the answers to one round of probes, in microseconds, even if the time of the search is
+/// over.
 const ROUND_TIMEOUT_MIN_US: u64 = 6_000;
-/// Longest wait for the answer of one probe, in microseconds; without one by then the probe has failed.
+/// Time after which a probe without an answer has failed, in microseconds.
 ///
-/// Longer than a round's: answers that are late for one search still serve the next.
+/// Longer than the wait for a round: an answer that is late for one search is still of use to the next.
 pub const PROBE_TIMEOUT_US: u64 = 150_000;
 
-/// Time for which an uncontended upstream is searched for a request, in milliseconds.
+/// Time for which a request's search looks for an uncontended upstream, in milliseconds.
 pub fn search_time_ms(route: &RouteRule) -> f64 {
     (route.target_latency_ms as f64 * SEARCH_SHARE).max(SEARCH_MIN_MS)
 }
@@ -44,71 +47,71 @@
 /// How candidates are probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SearchOptions {
-    /// Whether candidates are probed at all.
+    /// Whether candidates are probed.
     pub probes: bool,
-    /// Candidates probed in the first round of a pass.
+    /// Number of candidates probed in the first round of a pass.
     pub first_round: usize,
-    /// Candidates probed in the second round, when none of the first is uncontended.
+    /// Number of candidates probed in the second round, if none of the first is uncontended.
     pub second_round: usize,
 }
 
-/// What a search is for.
+/// The goal of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearchGoal {
-    /// The best upstream there is; an uncontended one is searched for until then.
+    /// The best available upstream, after searching for an uncontended one until `until_us`.
     Best {
-        /// End of the search, in microseconds of the steady clock.
+        /// End of the search, in microseconds of the monotonic clock.
         until_us: u64,
     },
-    /// An uncontended upstream, found in one pass.
+    /// An uncontended upstream, searched for in a single pass.
     UncontendedOnly,
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// An upstream that works at once and at its usual speed, as far as can be known.
+    /// An upstream that, as far as is known, runs the request without queueing and near its usual speed.
     Uncontended(UpstreamKey),
-    /// The best of the others.
+    /// The best upstream, if no uncontended one was found.
     Contended(UpstreamKey),
-    /// The service has no upstream left for the request, for this reason.
+    /// No upstream of the service may get the request, for this reason.
     Nothing(Ineligible),
 }
 
-/// What to do next.
+/// The next step of a search, for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SearchStep {
-    /// Probe these upstreams together; report answers by [`Search::answered`] until one is chosen, all have answered or
-    /// the time-out is over, then go on with [`Search::next`].
+    /// Probe these upstreams concurrently. Report answers by [`Search::answered`] until one is chosen, all
+    /// have answered or the timeout has passed, then call [`Search::next`].
     Probe {
-        /// The upstreams.
+        /// The upstreams to probe.
         upstreams: Vec<UpstreamKey>,
-        /// Longest wait, in microseconds.
+        /// Maximum wait for the answers, in microseconds.
         timeout_us: u64,
     },
-    /// Wait, then go on with [`Search::next`].
+    /// Wait, then call [`Search::next`].
     Pause {
-        /// How long, in microseconds.
+        /// Length of the pause, in microseconds.
         pause_us: u64,
     },
     /// The search is over.
     Done(Found),
 }
 
-/// What is searched, and for which request.
+/// The parameters of a search.
 #[derive(Clone, Debug)]
 pub struct SearchRequest {
-    /// The service.
+    /// The service of which an upstream is searched for.
     pub service: Name,
     /// Upstreams that the request was sent to before.
     pub tried: Vec<UpstreamKey>,
-    /// Size of the request's body, as far as it is known.
+    /// Size of the request's body in bytes, as far as it is known.
     pub body_bytes: usize,
-    /// What the search is for.
+    /// The goal of the search.
     pub goal: SearchGoal,
     /// The regions whose upstreams may serve the request.
     pub regions: AllowedRegions,
-    /// How urgent the request is, 0 being the most.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u32,
 }
 
@@ -125,7 +128,7 @@
 }
 
 impl Search {
-    /// A search that has not begun.
+    /// A search in its initial state. The first call of [`Self::next`] begins it.
     pub fn new(options: SearchOptions, request: SearchRequest) -> Self {
         Self {
             options,
@@ -137,7 +140,8 @@
         }
     }
 
-    /// What to do now: at the beginning, after a pause, and after a round of probes.
+    /// The next step. Called at the beginning, after a pause, and after a round of probes. `now_us` is the
+    /// time of the monotonic clock in microseconds.
     pub fn next(&mut self, pool: &mut Pool, now_us: u64) -> SearchStep {
         if !self.in_pass {
             self.in_pass = true;
@@ -149,30 +153,30 @@
             return SearchStep::Probe { upstreams, timeout_us: self.round_timeout_us(now_us) };
         }
         match self.end_pass(pool, now_us) {
-            Found::Contended(_) if self.goes_on(now_us) => SearchStep::Pause { pause_us: PAUSE_US },
+            Found::Contended(_) if self.may_continue(now_us) => SearchStep::Pause { pause_us: PASS_PAUSE_US },
             found => SearchStep::Done(found),
         }
     }
 
-    /// Takes a healthy answer to a probe; true if its upstream is chosen.
+    /// Records a healthy answer to a probe; true if its upstream is chosen.
     pub fn answered(&mut self, key: UpstreamKey, pool: &Pool, now_us: u64) -> bool {
         self.answered.push(key);
-        // Without load reports the first answer counts: work at whoever answers late is slowed as well.
+        // Without load reports the first answer decides: an upstream slow to answer is slow to do work, too.
         let is_chosen = !pool.reports_load(&self.request.service) || pool.is_uncontended(key, now_us);
         is_chosen && pool.eligibility(key, now_us).is_ok()
     }
 
-    /// Ranks the candidates; gives one that can be chosen without a probe.
+    /// Ranks the candidates and plans the rounds of probes; returns a result if no probe is needed.
     fn begin_pass(&mut self, pool: &mut Pool, now_us: u64) -> Option<Found> {
-        if let Some(key) = self.limit_to_refresh(pool, now_us) {
+        if let Some(key) = self.limit_refresh_target(pool, now_us) {
             return Some(Found::Uncontended(key));
         }
         let candidates = self.candidates(pool, now_us);
         if !self.options.probes {
             let best = candidates.first().map(|key| Found::Uncontended(*key));
-            return best.or_else(|| Some(self.nothing(pool, now_us)));
+            return best.or_else(|| Some(self.not_found(pool, now_us)));
         }
-        // Those that advertise a limit are not probed: a probe is work, too.
+        // Upstreams that advertise a limit are not probed, since a probe is work for them as well.
         let (limited, candidates): (Vec<_>, Vec<_>) =
             candidates.into_iter().partition(|key| pool.is_limited(*key));
         if candidates.is_empty()
@@ -182,9 +186,9 @@
         }
         self.limited = limited;
         if !pool.reports_load(&self.request.service) {
-            let first = candidates.len().min(UNREPORTED_ROUND);
+            let first = candidates.len().min(ROUND_WITHOUT_LOAD_REPORTS);
             self.rounds = VecDeque::from([candidates[..first].to_vec()]);
-            return candidates.is_empty().then(|| self.nothing(pool, now_us));
+            return candidates.is_empty().then(|| self.not_found(pool, now_us));
         }
         if let Some(key) = candidates.iter().find(|key| pool.is_uncontended(**key, now_us)) {
             return Some(Found::Uncontended(*key));
@@ -195,49 +199,51 @@
         None
     }
 
-    /// The best of those that answered in this pass or advertise a limit, or else the best-ranked.
+    /// The cheapest of the candidates that answered in this pass or advertise a limit; if there are none, the
+    /// best-ranked candidate.
     fn end_pass(&mut self, pool: &mut Pool, now_us: u64) -> Found {
         self.in_pass = false;
         let far_factor = pool.far_factor(self.request.body_bytes);
-        let cost = |key: &UpstreamKey| pool.cost_with_distance(*key, far_factor, now_us);
-        let known = self.answered.drain(..).chain(self.limited.drain(..));
-        let answered = known.filter(|key| pool.may_get_work(*key, now_us));
-        let best = answered.min_by(|a, b| cost(a).total_cmp(&cost(b)));
+        let cost = |key: &UpstreamKey| pool.cost_with_locality(*key, far_factor, now_us);
+        let contenders = self.answered.drain(..).chain(self.limited.drain(..));
+        let usable = contenders.filter(|key| pool.is_usable(*key, now_us));
+        let best = usable.min_by(|a, b| cost(a).total_cmp(&cost(b)));
         best.or_else(|| self.candidates(pool, now_us).first().copied())
-            .map_or_else(|| self.nothing(pool, now_us), Found::Contended)
+            .map_or_else(|| self.not_found(pool, now_us), Found::Contended)
     }
 
-    fn nothing(&self, pool: &Pool, now_us: u64) -> Found {
-        Found::Nothing(pool.why_none(&self.request.service, &self.wanted(), now_us))
+    fn not_found(&self, pool: &Pool, now_us: u64) -> Found {
+        Found::Nothing(pool.no_upstream_reason(&self.request.service, &self.criteria(), now_us))
     }
 
     fn candidates(&self, pool: &mut Pool, now_us: u64) -> Vec<UpstreamKey> {
-        pool.candidates(&self.request.service, &self.wanted(), now_us)
+        pool.candidates(&self.request.service, &self.criteria(), now_us)
     }
 
-    fn wanted(&self) -> Wanted<'_> {
+    fn criteria(&self) -> Wanted<'_> {
         let SearchRequest { tried, body_bytes, regions, priority, .. } = &self.request;
         let count = self.options.first_round + self.options.second_round;
         Wanted { tried, body_bytes: *body_bytes, count, regions, priority: *priority }
     }
 
-    /// An upstream whose limit is to be confirmed; not by a hedge, which has to find a fast one.
-    fn limit_to_refresh(&self, pool: &Pool, now_us: u64) -> Option<UpstreamKey> {
+    /// An upstream that gets the request to find out whether its limit still applies. None for hedges, which
+    /// need a fast upstream.
+    fn limit_refresh_target(&self, pool: &Pool, now_us: u64) -> Option<UpstreamKey> {
         match self.request.goal {
-            SearchGoal::Best { .. } => pool.limit_to_refresh(&self.request.service, &self.wanted(), now_us),
+            SearchGoal::Best { .. } => pool.limit_to_refresh(&self.request.service, &self.criteria(), now_us),
             SearchGoal::UncontendedOnly => None,
         }
     }
 
-    fn goes_on(&self, now_us: u64) -> bool {
+    fn may_continue(&self, now_us: u64) -> bool {
         matches!(self.request.goal, SearchGoal::Best { until_us } if now_us < until_us)
     }
 
     fn round_timeout_us(&self, now_us: u64) -> u64 {
         match self.request.goal {
-            SearchGoal::UncontendedOnly => ROUND_TIMEOUT_US,
+            SearchGoal::UncontendedOnly => ROUND_TIMEOUT_MAX_US,
             SearchGoal::Best { until_us } => {
-                until_us.saturating_sub(now_us).clamp(ROUND_TIMEOUT_MIN_US, ROUND_TIMEOUT_US)
+                until_us.saturating_sub(now_us).clamp(ROUND_TIMEOUT_MIN_US, ROUND_TIMEOUT_MAX_US)
             }
         }
     }
--- a/crates/pointvane-dispatch/src/subset.rs
+++ b/crates/pointvane-dispatch/src/subset.rs
@@ -1,10 +1,11 @@
-//! Subsetting: the part of a large service's upstreams that a node uses first.
+//! Subsetting: the part of a large service's upstreams that a node prefers.
 //!
-//! A node that spread its requests over hundreds of upstreams would use each so rarely that its connection there had
-//! been closed and its load report was old. So each node has a subset, drawn at random for its life: upstreams of its own
-//! data centre, then some of others, and for each request a few that are drawn anew, which lets it find better ones.
-//! Nodes draw differently, so that each upstream is in the subsets of some nodes. Services no larger than the subset are
-//! not affected. Tests: `a_node_turns_to_few_upstreams_of_a_large_service_and_to_each_once_in_a_while`,
+//! A node that spread its requests over hundreds of upstreams would use each so rarely that its connection
+//! would have been closed and its load report would be old. Each node therefore uses a random subset that
+//! stays the same for the life of the process: upstreams of its own data centre, then some of others. For
+//! each request a few random upstreams are added, so that better ones can be found. Nodes choose different
+//! subsets, so that each upstream is in the subsets of some nodes. Services no larger than the subset are not
+//! affected. Tests: `most_requests_to_a_large_service_go_to_few_upstreams_and_some_to_each`,
 //! `all_upstreams_of_a_large_service_are_preferred_by_some_nodes_and_none_by_too_many`.
 
 use {
@@ -12,17 +13,12 @@
     rand::{rngs::SmallRng, seq::IndexedRandom},
 };
 
-/// Upstreams of the node's own data centre in a subset. Not measured apart from [`SUBSET_MAX`].
+/// Maximum number of upstreams of the node's own data centre in a subset, while there are others.
 const NEAR_MAX: usize = 24;
-/// Upstreams in a subset.
-///
-/// 16 scored slightly less on grown Heatline: 0.764 against 0.766 (quiet-1) and 0.846 against 0.849 (scale-1)
-/// (docs/MEASUREMENTS.md, "The round on NEWS-24").
+/// Maximum number of upstreams in a subset.
 pub(crate) const SUBSET_MAX: usize = 32;
-/// Upstreams beside the subset that are drawn anew for each request.
-///
-/// 8 scored less on grown Heatline: 0.759 and 0.841 (docs/MEASUREMENTS.md, as above).
-const DRAWN: usize = 2;
+/// Random upstreams added to the subset for each request, half of them from the node's own data centre.
+const RANDOM_ADDED: usize = 2;
 
 /// An upstream's position in the node's random order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,23 +30,25 @@
 /// The upstreams of one service, in this node's random order.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceUpstreams {
+    /// Upstreams of the node's own data centre.
     near: Vec<Position>,
+    /// Upstreams of other data centres.
     far: Vec<Position>,
 }
 
 impl ServiceUpstreams {
-    /// Adds an upstream at the position that `draw` gives it.
+    /// Adds an upstream; the random number `draw` determines its position in the order.
     pub fn add(&mut self, key: UpstreamKey, near: bool, draw: u64) {
-        let places = if near { &mut self.near } else { &mut self.far };
-        let place = Position { draw, key };
-        let index = places.partition_point(|other| *other < place);
-        places.insert(index, place);
+        let positions = if near { &mut self.near } else { &mut self.far };
+        let position = Position { draw, key };
+        let index = positions.partition_point(|other| *other < position);
+        positions.insert(index, position);
     }
 
-    /// Takes an upstream out.
+    /// Removes an upstream.
     pub fn remove(&mut self, key: UpstreamKey) {
-        self.near.retain(|place| place.key != key);
-        self.far.retain(|place| place.key != key);
+        self.near.retain(|position| position.key != key);
+        self.far.retain(|position| position.key != key);
     }
 
     /// Number of upstreams.
@@ -58,27 +56,27 @@
         self.near.len() + self.far.len()
     }
 
-    /// All upstreams, those near first.
+    /// All upstreams, those of the node's own data centre first.
     pub fn keys(&self) -> impl Iterator<Item = UpstreamKey> {
-        self.near.iter().chain(&self.far).map(|place| place.key)
+        self.near.iter().chain(&self.far).map(|position| position.key)
     }
 
-    /// The upstreams to rank for one request, out of those that are usable.
+    /// The upstreams to rank for one request: the subset of the usable ones, and a few random others.
     pub fn subset(&self, usable: impl Fn(UpstreamKey) -> bool, rng: &mut SmallRng) -> Vec<UpstreamKey> {
-        let usable_place = |place: &&Position| usable(place.key);
-        let near = self.near.iter().filter(usable_place).take(NEAR_MAX);
-        let mut subset: Vec<UpstreamKey> = near.map(|place| place.key).collect();
-        let room = SUBSET_MAX - subset.len();
-        subset.extend(self.far.iter().filter(usable_place).take(room).map(|place| place.key));
-        let rest = SUBSET_MAX.saturating_sub(subset.len());
-        let more = self.near.iter().filter(usable_place).skip(NEAR_MAX).take(rest);
-        subset.extend(more.map(|place| place.key));
-        self.draw_others(&mut subset, usable, rng);
+        let is_usable = |position: &&Position| usable(position.key);
+        let near = self.near.iter().filter(is_usable).take(NEAR_MAX);
+        let mut subset: Vec<UpstreamKey> = near.map(|position| position.key).collect();
+        let far_max = SUBSET_MAX - subset.len();
+        subset.extend(self.far.iter().filter(is_usable).take(far_max).map(|position| position.key));
+        let unfilled = SUBSET_MAX.saturating_sub(subset.len());
+        let more_near = self.near.iter().filter(is_usable).skip(NEAR_MAX).take(unfilled);
+        subset.extend(more_near.map(|position| position.key));
+        self.add_random(&mut subset, usable, rng);
         subset
     }
 
-    /// Adds some that are drawn anew.
-    fn draw_others(
+    /// Adds upstreams drawn at random for this request.
+    fn add_random(
         &self,
         subset: &mut Vec<UpstreamKey>,
         usable: impl Fn(UpstreamKey) -> bool,
@@ -87,11 +85,12 @@
         if self.near.len() + self.far.len() <= subset.len() {
             return;
         }
-        for place in
-            [&self.near, &self.far].into_iter().flat_map(|places| places.choose_multiple(rng, DRAWN / 2))
+        for position in [&self.near, &self.far]
+            .into_iter()
+            .flat_map(|positions| positions.choose_multiple(rng, RANDOM_ADDED / 2))
         {
-            if usable(place.key) && !subset.contains(&place.key) {
-                subset.push(place.key);
+            if usable(position.key) && !subset.contains(&position.key) {
+                subset.push(position.key);
             }
         }
     }
--- a/crates/pointvane-dispatch/src/upstream_key.rs
+++ b/crates/pointvane-dispatch/src/upstream_key.rs
@@ -1,5 +1,5 @@
-//! The key under which a pool keeps what it knows of one life of an upstream.
+//! The key under which a pool stores the state of one incarnation of an upstream.
 
-/// One life of an upstream in a pool, for as long as the pool lives.
+/// Identifies one incarnation of an upstream in a pool. Keys are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamKey(pub(crate) u64);
--- a/crates/pointvane-dispatch/tests/search.rs
+++ b/crates/pointvane-dispatch/tests/search.rs
@@ -1,4 +1,5 @@
-//! The search for an upstream: which are probed and when, what is chosen, and when it ends.
+//! The search for an upstream: which candidates are probed and when, which one is chosen, and when the search
+//! ends.
 
 mod common;
 
@@ -36,7 +37,7 @@
     )
 }
 
-fn best(for_us: u64) -> SearchGoal {
+fn best_within(for_us: u64) -> SearchGoal {
     SearchGoal::Best { until_us: NOW + for_us }
 }
 
@@ -44,7 +45,7 @@
     UpstreamLoad { running, waiting: 0, slots: 3, slowdown_percent }
 }
 
-fn all(pool: &mut Pool) -> Vec<UpstreamKey> {
+fn all_candidates(pool: &mut Pool) -> Vec<UpstreamKey> {
     pool.candidates(
         &"dispatch".into(),
         &Wanted { priority: 0, tried: &[], body_bytes: 0, count: 100, regions: &AllowedRegions::ANY },
@@ -52,7 +53,7 @@
     )
 }
 
-fn probed(step: SearchStep) -> (Vec<UpstreamKey>, u64) {
+fn expect_probe(step: SearchStep) -> (Vec<UpstreamKey>, u64) {
     match step {
         SearchStep::Probe { upstreams, timeout_us } => (upstreams, timeout_us),
         other => panic!("no probe: {other:?}"),
@@ -62,24 +63,24 @@
 #[gtest]
 fn an_upstream_with_a_fresh_good_report_is_chosen_without_a_probe() {
     let mut pool = pool(5);
-    let key = all(&mut pool)[3];
+    let key = all_candidates(&mut pool)[3];
     pool.record_load(key, load(0, 100), NOW - 5 * MS);
-    let step = search(OPTIONS, best(20 * MS)).next(&mut pool, NOW);
+    let step = search(OPTIONS, best_within(20 * MS)).next(&mut pool, NOW);
     expect_that!(step, eq(&SearchStep::Done(Found::Uncontended(key))));
 }
 
 #[gtest]
-fn a_few_are_probed_first_and_more_if_none_of_these_is_uncontended() {
+fn a_second_round_is_probed_if_none_of_the_first_is_uncontended() {
     let mut pool = pool(10);
-    let mut search = search(OPTIONS, best(20 * MS));
-    let (first, timeout_us) = probed(search.next(&mut pool, NOW));
+    let mut search = search(OPTIONS, best_within(20 * MS));
+    let (first, timeout_us) = expect_probe(search.next(&mut pool, NOW));
     expect_that!(first.len(), eq(2));
-    expect_that!(timeout_us, eq(20 * MS), "no longer than the search");
+    expect_that!(timeout_us, eq(20 * MS), "not longer than the search");
     for key in &first {
         pool.record_load(*key, load(0, 700), NOW + MS);
         expect_that!(search.answered(*key, &pool, NOW + MS), eq(false));
     }
-    let (second, timeout_us) = probed(search.next(&mut pool, NOW + 2 * MS));
+    let (second, timeout_us) = expect_probe(search.next(&mut pool, NOW + 2 * MS));
     expect_that!(second.len(), eq(4));
     expect_that!(timeout_us, eq(18 * MS));
     expect_that!(second.iter().any(|key| first.contains(key)), eq(false));
@@ -89,16 +90,16 @@
 
 #[gtest]
 fn a_round_waits_between_6_and_30_ms() {
-    let timeout_us = |goal| probed(search(OPTIONS, goal).next(&mut pool(3), NOW)).1;
-    expect_that!(timeout_us(best(0)), eq(6 * MS));
-    expect_that!(timeout_us(best(500 * MS)), eq(30 * MS));
+    let timeout_us = |goal| expect_probe(search(OPTIONS, goal).next(&mut pool(3), NOW)).1;
+    expect_that!(timeout_us(best_within(0)), eq(6 * MS));
+    expect_that!(timeout_us(best_within(500 * MS)), eq(30 * MS));
     expect_that!(timeout_us(SearchGoal::UncontendedOnly), eq(30 * MS));
 }
 
 #[gtest]
-fn passes_are_made_until_the_time_of_the_search_is_over_then_the_best_that_answered_is_taken() {
+fn passes_repeat_until_the_search_time_is_over_then_the_best_that_answered_is_taken() {
     let mut pool = pool(2);
-    let mut search = search(OPTIONS, best(20 * MS));
+    let mut search = search(OPTIONS, best_within(20 * MS));
     let mut passes = 0;
     let mut now_us = NOW;
     let found = loop {
@@ -128,25 +129,25 @@
 fn a_search_for_an_uncontended_upstream_makes_one_pass() {
     let mut pool = pool(1);
     let mut search = search(OPTIONS, SearchGoal::UncontendedOnly);
-    let (round, _) = probed(search.next(&mut pool, NOW));
+    let (round, _) = expect_probe(search.next(&mut pool, NOW));
     expect_that!(search.next(&mut pool, NOW + 30 * MS), eq(&SearchStep::Done(Found::Contended(round[0]))));
 }
 
 #[gtest]
 fn if_no_probe_is_answered_the_best_ranked_is_taken() {
     let mut pool = pool(8);
-    let mut search = search(OPTIONS, best(0));
-    probed(search.next(&mut pool, NOW));
-    probed(search.next(&mut pool, NOW));
+    let mut search = search(OPTIONS, best_within(0));
+    expect_probe(search.next(&mut pool, NOW));
+    expect_probe(search.next(&mut pool, NOW));
     let step = search.next(&mut pool, NOW);
     expect_that!(step, matches_pattern!(SearchStep::Done(matches_pattern!(Found::Contended(_)))));
 }
 
 #[gtest]
-fn one_that_began_to_drain_after_its_answer_is_not_taken() {
+fn an_upstream_that_began_to_drain_after_its_answer_is_not_taken() {
     let mut pool = pool(2);
-    let mut search = search(OPTIONS, best(0));
-    let (round, _) = probed(search.next(&mut pool, NOW));
+    let mut search = search(OPTIONS, best_within(0));
+    let (round, _) = expect_probe(search.next(&mut pool, NOW));
     pool.record_load(round[0], load(0, 700), NOW);
     search.answered(round[0], &pool, NOW);
     let id = pool.get(round[0]).unwrap().id().to_string();
@@ -157,14 +158,14 @@
 #[gtest]
 fn without_probes_the_best_ranked_is_taken_at_once() {
     let mut pool = pool(2);
-    let step = search(SearchOptions { probes: false, ..OPTIONS }, best(20 * MS)).next(&mut pool, NOW);
+    let step = search(SearchOptions { probes: false, ..OPTIONS }, best_within(20 * MS)).next(&mut pool, NOW);
     expect_that!(step, matches_pattern!(SearchStep::Done(matches_pattern!(Found::Uncontended(_)))));
 }
 
-/// A service whose upstreams report no load, as is known after three answers.
+/// A pool with a service whose upstreams report no load, which is known after three answers without a report.
 fn without_load_reports(upstreams: usize) -> Pool {
     let mut pool = pool(upstreams);
-    let key = all(&mut pool)[0];
+    let key = all_candidates(&mut pool)[0];
     (0..3).for_each(|_| pool.record_no_load(key));
     pool
 }
@@ -172,8 +173,8 @@
 #[gtest]
 fn without_load_reports_three_are_probed_and_the_first_that_answers_is_taken() {
     let mut pool = without_load_reports(8);
-    let mut search = search(OPTIONS, best(20 * MS));
-    let (round, _) = probed(search.next(&mut pool, NOW));
+    let mut search = search(OPTIONS, best_within(20 * MS));
+    let (round, _) = expect_probe(search.next(&mut pool, NOW));
     expect_that!(round.len(), eq(3));
     expect_that!(search.answered(round[2], &pool, NOW + MS), eq(true));
 }
@@ -181,22 +182,22 @@
 #[gtest]
 fn without_load_reports_the_best_ranked_is_taken_if_none_answers_in_time() {
     let mut pool = without_load_reports(2);
-    let mut search = search(OPTIONS, best(0));
-    probed(search.next(&mut pool, NOW));
+    let mut search = search(OPTIONS, best_within(0));
+    expect_probe(search.next(&mut pool, NOW));
     let step = search.next(&mut pool, NOW + MS);
     expect_that!(step, matches_pattern!(SearchStep::Done(matches_pattern!(Found::Contended(_)))));
 }
 
 #[gtest]
-fn without_load_reports_those_that_were_slow_to_answer_a_probe_are_probed_last() {
+fn without_load_reports_upstreams_slow_to_answer_probes_are_probed_last() {
     let mut pool = without_load_reports(8);
-    let keys = all(&mut pool);
+    let keys = all_candidates(&mut pool);
     for _ in 0..20 {
         keys.iter().for_each(|key| pool.record_probe_time(*key, 6.0, NOW));
     }
     keys[..4].iter().for_each(|key| pool.record_probe_time(*key, 42.0, NOW));
     for _ in 0..20 {
-        let (round, _) = probed(search(OPTIONS, best(20 * MS)).next(&mut pool, NOW + 500 * MS));
+        let (round, _) = expect_probe(search(OPTIONS, best_within(20 * MS)).next(&mut pool, NOW + 500 * MS));
         expect_that!(round.iter().any(|key| keys[..4].contains(key)), eq(false));
     }
 }
@@ -205,7 +206,7 @@
 fn a_service_without_upstreams_ends_the_search_at_once() {
     let without_probes = SearchOptions { probes: false, ..OPTIONS };
     for options in [OPTIONS, without_probes] {
-        let step = search(options, best(20 * MS)).next(&mut pool(0), NOW);
+        let step = search(options, best_within(20 * MS)).next(&mut pool(0), NOW);
         expect_that!(step, eq(&SearchStep::Done(Found::Nothing(Ineligible::Gone))));
     }
 }
--- a/crates/pointvane-dispatch/tests/upstreams.rs
+++ b/crates/pointvane-dispatch/tests/upstreams.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to, and what becomes of those that leave, fail or come back.
+//! Which upstream a request goes to, and how upstreams that leave, fail or return are handled.
 
 use {
     googletest::prelude::*,
@@ -57,49 +57,49 @@
 }
 
 #[gtest]
-fn a_fresh_good_word_makes_an_upstream_good_until_it_is_old_or_work_is_sent() {
+fn a_fresh_good_report_makes_an_upstream_uncontended_until_it_is_old_or_work_is_sent() {
     let mut pool = pool(&[("a", "one")]);
     let a = key(&mut pool, "a");
-    expect_that!(pool.is_uncontended(a, MS), eq(false), "nothing was heard");
+    expect_that!(pool.is_uncontended(a, MS), eq(false), "no report yet");
     pool.record_load(a, load(0, 0, 100), 10 * MS);
     expect_that!(pool.is_uncontended(a, 12 * MS), eq(true));
-    expect_that!(pool.is_uncontended(a, 200 * MS), eq(false), "the word is old");
+    expect_that!(pool.is_uncontended(a, 200 * MS), eq(false), "the report is old");
     (0..4).for_each(|_| pool.get_mut(a).unwrap().request_started());
-    expect_that!(pool.is_uncontended(a, 12 * MS), eq(false), "its slots are taken by then");
+    expect_that!(pool.is_uncontended(a, 12 * MS), eq(false), "its slots are in use by now");
 }
 
 #[gtest]
-fn an_upstream_has_room_while_a_slot_is_free_by_its_report_and_by_what_was_sent_since() {
+fn an_upstream_has_room_while_a_slot_is_free_by_its_report_and_the_requests_sent_since() {
     let mut pool = pool(&[("a", "one")]);
     let a = key(&mut pool, "a");
-    expect_that!(pool.has_room(a, MS), eq(true), "nothing was heard");
+    expect_that!(pool.has_room(a, MS), eq(true), "no report yet");
     pool.record_load(a, load(2, 0, 100), 10 * MS);
     expect_that!(pool.has_room(a, 11 * MS), eq(true));
     pool.get_mut(a).unwrap().request_started();
-    expect_that!(pool.has_room(a, 11 * MS), eq(false), "the last slot is taken");
+    expect_that!(pool.has_room(a, 11 * MS), eq(false), "the last slot is in use");
     pool.record_load(a, load(2, 1, 100), 20 * MS);
-    expect_that!(pool.has_room(a, 21 * MS), eq(false), "others wait for it");
+    expect_that!(pool.has_room(a, 21 * MS), eq(false), "a request is queued there");
 }
 
 #[gtest]
 fn slow_and_full_upstreams_come_after_idle_ones() {
     let mut pool = pool(&[("idle", "one"), ("slow", "one"), ("full", "one")]);
-    for (id, word) in [("idle", load(0, 0, 100)), ("slow", load(0, 0, 700)), ("full", load(3, 4, 100))] {
+    for (id, report) in [("idle", load(0, 0, 100)), ("slow", load(0, 0, 700)), ("full", load(3, 4, 100))] {
         let key = key(&mut pool, id);
-        pool.record_load(key, word, 10 * MS);
+        pool.record_load(key, report, 10 * MS);
     }
     let ranked = candidates(&mut pool, &[], 11 * MS);
     expect_that!(ids(&pool, &ranked), elements_are![eq("idle"), eq("full"), eq("slow")]);
 }
 
 #[gtest]
-fn a_word_on_the_pace_fades_towards_the_usual() {
+fn a_reported_slowdown_decays_towards_the_mean() {
     let mut pool = pool(&[("a", "one")]);
     let a = key(&mut pool, "a");
     pool.record_load(a, load(0, 0, 700), 10 * MS);
-    let young = pool.cost(a, 11 * MS);
+    let fresh = pool.cost(a, 11 * MS);
     let old = pool.cost(a, 2_000 * MS);
-    expect_that!(young, gt(6.5));
+    expect_that!(fresh, gt(6.5));
     expect_that!(old, lt(3.0));
 }
 
@@ -116,7 +116,7 @@
 }
 
 #[gtest]
-fn one_that_was_tried_or_is_draining_is_no_candidate() {
+fn upstreams_that_were_tried_or_are_draining_are_no_candidates() {
     let mut pool = pool(&[("a", "one"), ("b", "one"), ("c", "one")]);
     let a = key(&mut pool, "a");
     pool.upsert(UpstreamRecord { draining: true, ..record("b", "one", 2) }, MS);
@@ -125,7 +125,7 @@
 }
 
 #[gtest]
-fn one_that_is_draining_never_comes_back_by_a_late_older_word() {
+fn a_draining_upstream_is_not_restored_by_an_older_or_newer_entry() {
     let mut pool = pool(&[("a", "one")]);
     pool.upsert(UpstreamRecord { draining: true, ..record("a", "one", 5) }, MS);
     pool.upsert(record("a", "one", 4), 2 * MS);
@@ -134,7 +134,7 @@
 }
 
 #[gtest]
-fn one_that_is_gone_comes_back_by_a_later_word_only() {
+fn a_removed_upstream_is_restored_only_by_a_newer_entry() {
     let mut pool = pool(&[("a", "one")]);
     pool.upsert(record("a", "one", 5), MS);
     pool.remove(&"a".into());
@@ -145,7 +145,7 @@
 }
 
 #[gtest]
-fn failures_in_a_row_set_an_upstream_aside_for_a_time() {
+fn consecutive_failures_eject_an_upstream_for_a_time() {
     let mut pool = pool(&[("a", "one"), ("b", "one")]);
     let a = key(&mut pool, "a");
     for _ in 0..3 {
@@ -157,7 +157,7 @@
 }
 
 #[gtest]
-fn if_all_are_set_aside_all_are_used() {
+fn if_all_upstreams_are_ejected_all_are_used() {
     let mut pool = pool(&[("a", "one"), ("b", "one")]);
     for id in ["a", "b"] {
         let key = key(&mut pool, id);
@@ -167,7 +167,7 @@
 }
 
 #[gtest]
-fn an_upstream_that_often_fails_costs_more_though_it_looks_idle() {
+fn an_upstream_that_often_fails_costs_more_even_if_it_looks_idle() {
     let mut pool = pool(&[("sound", "one"), ("failing", "one")]);
     let failing = key(&mut pool, "failing");
     for _ in 0..6 {
@@ -179,7 +179,7 @@
     expect_that!(pool.get(best).unwrap().id(), eq(&name));
 }
 
-/// A node's pool of a service with so many upstreams, one in `centres` of them near.
+/// A pool with a service of `upstreams` upstreams, one in `centres` of them in the node's own data centre.
 fn large_pool(upstreams: usize, centres: usize, seed: u64) -> Pool {
     let mut pool = Pool::new(RankingOptions::default(), "one".into(), seed);
     for number in 0..upstreams {
@@ -190,7 +190,7 @@
 }
 
 #[gtest]
-fn a_node_turns_to_few_upstreams_of_a_large_service_and_to_each_once_in_a_while() {
+fn most_requests_to_a_large_service_go_to_few_upstreams_and_some_to_each() {
     let mut pool = large_pool(1_000, 1, 1);
     let mut first: BTreeMap<UpstreamKey, usize> = BTreeMap::new();
     for _ in 0..60_000 {
@@ -199,28 +199,35 @@
     expect_that!(first.len(), ge(800));
     let mut counts: Vec<usize> = first.into_values().collect();
     counts.sort_unstable_by(|a, b| b.cmp(a));
-    expect_that!(counts.iter().take(32).sum::<usize>(), ge(54_000), "connections there stay in use");
+    expect_that!(
+        counts.iter().take(32).sum::<usize>(),
+        ge(54_000),
+        "the subset gets most requests, so its connections stay open"
+    );
 }
 
 #[gtest]
 fn all_upstreams_of_a_large_service_are_preferred_by_some_nodes_and_none_by_too_many() {
-    let mut turns: BTreeMap<String, usize> = BTreeMap::new();
+    let mut first_choices: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 0..500 {
         let mut pool = large_pool(1_000, 2, seed);
         for _ in 0..64 {
             let first = candidates(&mut pool, &[], MS)[0];
-            *turns.entry(pool.get(first).unwrap().id().to_string()).or_default() += 1;
+            *first_choices.entry(pool.get(first).unwrap().id().to_string()).or_default() += 1;
         }
     }
-    let near: Vec<usize> =
-        turns.iter().filter(|(id, _)| id[2..].parse::<usize>().unwrap() % 2 == 0).map(|(_, n)| *n).collect();
-    expect_that!(near.len(), eq(500), "each has somebody");
+    let near: Vec<usize> = first_choices
+        .iter()
+        .filter(|(id, _)| id[2..].parse::<usize>().unwrap() % 2 == 0)
+        .map(|(_, n)| *n)
+        .collect();
+    expect_that!(near.len(), eq(500), "every near upstream is preferred by some node");
     let mean = near.iter().sum::<usize>() / near.len();
     expect_that!(*near.iter().max().unwrap(), le(3 * mean));
 }
 
 #[gtest]
-fn a_node_with_few_upstreams_near_turns_to_far_ones_too() {
+fn a_node_with_few_near_upstreams_uses_far_ones_too() {
     let mut pool = Pool::new(RankingOptions::default(), "three".into(), 1);
     for number in 0..100 {
         pool.upsert(record(&format!("i-{number}"), "one", 1), MS);
@@ -237,10 +244,10 @@
 }
 
 #[gtest]
-fn a_service_that_tells_no_load_is_not_asked_and_is_ranked_by_answer_times_and_own_requests() {
+fn upstreams_without_load_reports_are_ranked_by_latency_and_own_requests() {
     let mut pool = pool(&[("busy", "one"), ("quick", "one"), ("slow", "one")]);
     let keys = ["busy", "quick", "slow"].map(|id| key(&mut pool, id));
-    expect_that!(pool.reports_load(&SERVICE.into()), eq(true), "nothing is known yet");
+    expect_that!(pool.reports_load(&SERVICE.into()), eq(true), "unknown yet");
     keys.iter().for_each(|key| pool.record_no_load(*key));
     expect_that!(pool.reports_load(&SERVICE.into()), eq(false));
     for _ in 0..4 {
@@ -250,11 +257,11 @@
     let ranked = candidates(&mut pool, &[], 11 * MS);
     expect_that!(ids(&pool, &ranked), elements_are![eq("quick"), eq("busy"), eq("slow")]);
     pool.record_load(keys[0], load(0, 0, 100), 20 * MS);
-    expect_that!(pool.reports_load(&SERVICE.into()), eq(true), "one that tells is enough");
+    expect_that!(pool.reports_load(&SERVICE.into()), eq(true), "one upstream that reports is enough");
 }
 
 #[gtest]
-fn one_that_cannot_be_reached_is_set_aside_at_once() {
+fn an_unreachable_upstream_is_ejected_at_once() {
     let mut pool = pool(&[("a", "one"), ("b", "one")]);
     let a = key(&mut pool, "a");
     pool.get_mut(a).unwrap().attempt_ended(AttemptOutcome::Unreachable, 10 * MS);
@@ -263,32 +270,33 @@
     expect_that!(candidates(&mut pool, &[], 1_000 * MS).len(), eq(2), "it is tried again");
 }
 
-fn life(born_ms: Option<u64>, sequence: u64) -> UpstreamRecord {
+fn incarnation(born_ms: Option<u64>, sequence: u64) -> UpstreamRecord {
     UpstreamRecord { born_ms, ..record("a", "one", sequence) }
 }
 
 #[gtest]
-fn a_later_life_replaces_all_that_was_known_of_the_earlier_one() {
+fn a_later_incarnation_replaces_the_state_of_the_earlier_one() {
     let mut pool = pool(&[]);
-    pool.upsert(life(Some(1_000), 50), MS);
-    let former = candidates(&mut pool, &[], MS)[0];
-    pool.get_mut(former).unwrap().request_started();
-    pool.upsert(UpstreamRecord { draining: true, ..life(Some(1_000), 51) }, MS);
+    pool.upsert(incarnation(Some(1_000), 50), MS);
+    let earlier = candidates(&mut pool, &[], MS)[0];
+    pool.get_mut(earlier).unwrap().request_started();
+    pool.upsert(UpstreamRecord { draining: true, ..incarnation(Some(1_000), 51) }, MS);
     expect_that!(candidates(&mut pool, &[], MS), is_empty());
-    expect_that!(pool.upsert(life(Some(2_000), 1), 2 * MS), eq(true));
+    expect_that!(pool.upsert(incarnation(Some(2_000), 1), 2 * MS), eq(true));
     let later = candidates(&mut pool, &[], 2 * MS);
     expect_that!(later.len(), eq(1));
-    expect_that!(later[0], not(eq(former)));
-    expect_that!(pool.get(former).is_none(), eq(true));
+    expect_that!(later[0], not(eq(earlier)));
+    expect_that!(pool.get(earlier).is_none(), eq(true));
     expect_that!(pool.get(later[0]).unwrap().in_flight(), eq(0));
 }
 
-/// In any order of arrival, and whether entries were gone in between, the newest life's newest entry holds.
+/// Whatever the order of arrival, and whether or not entries are removed in between, the newest entry of the
+/// newest incarnation is kept.
 #[gtest]
-fn no_order_of_arrival_brings_a_former_life_back() {
+fn no_order_of_arrival_restores_an_earlier_incarnation() {
     let entries: Vec<UpstreamRecord> =
         [(None, 70), (Some(1_000), 50), (Some(1_000), 51), (Some(2_000), 1), (Some(2_000), 2)]
-            .map(|(born_ms, sequence)| life(born_ms, sequence))
+            .map(|(born_ms, sequence)| incarnation(born_ms, sequence))
             .to_vec();
     let newest = entries.last().unwrap().clone();
     for seed in 0..10_000 {
@@ -307,9 +315,10 @@
     }
 }
 
-/// Another node may have taken the slot meanwhile, so that one refusal says little, and three in a row much.
+/// Another node may have taken the free slot in the meantime, so one refusal is weak evidence of a fault,
+/// while three in a row are strong evidence.
 #[gtest]
-fn one_that_turns_work_away_though_it_reports_a_free_slot_is_ejected_and_one_that_reports_none_is_not() {
+fn an_upstream_that_refuses_work_while_reporting_a_free_slot_is_ejected_and_a_full_one_is_not() {
     for (running, ejected) in [(0, true), (2, true), (3, false)] {
         let mut pool = pool(&[("a", "one"), ("b", "one")]);
         let a = key(&mut pool, "a");
@@ -325,7 +334,7 @@
 }
 
 #[gtest]
-fn a_refusal_says_nothing_where_the_last_report_is_old() {
+fn a_refusal_does_not_count_if_the_last_report_is_old() {
     let mut pool = pool(&[("a", "one")]);
     let a = key(&mut pool, "a");
     pool.record_load(a, load(0, 0, 100), MS);
