--- a/crates/pointvane-dispatch/src/quota.rs
+++ b/crates/pointvane-dispatch/src/quota.rs
@@ -1,14 +1,21 @@
-//! Quotas of client accounts over the whole fleet: whether a request of an account is admitted.
+//! Fleet-wide rate limits of client accounts: decides whether a request of an account is admitted.
 //!
-//! Decided once for each request, from what this node knows; no request waits for another node. Nodes report what they have admitted of
-//! an account within the window (`quota/local.rs`) to its coordinators (`quota/coordinator.rs`), and again to others that take their place.
-//! While the account is well within its quota everything is admitted. Near it, coordinators tell all nodes which part of its requests to admit, drawn at random, so that callers of all nodes are
-//! treated alike however few each node sees. Inputs: the account's quota, the part told last, whether other nodes and coordinators are
-//! heard. A node that hears nobody, or gets no answer to its reports, admits an equal part of the quota (`quota/allowance.rs`): its callers are told to retry
-//! soon, and find other nodes. Coordinators that no longer hear each other (`quota/peers.rs`) divide the quota. A request that is admitted and then not sent is given back.
+//! Each request is decided once, from local state; no request waits for another node. Nodes report the
+//! requests that they admitted within the window (`quota/local.rs`) to the account's coordinators
+//! (`quota/coordinator.rs`), and report again when other nodes become coordinators. While the account is well
+//! below its quota, every request is admitted. Near the quota, coordinators send all nodes the share of
+//! requests to admit. Nodes apply it by random sampling, so that callers are treated alike at all nodes,
+//! however few requests each node receives.
 //!
-//! Invariant: in any window the nodes together admit at most the quota, and beyond it what arrives before the coordinators know of it.
-//! Tests: `tests/quota.rs`, `tests/quota_peers.rs`, in fleets `tests/quota_fleet.rs`.
+//! Inputs: the account's quota, the last share received, whether other nodes and the coordinators are
+//! reachable. A node that is isolated or gets no answer to its reports admits an equal part of the quota
+//! (`quota/allowance.rs`) and tells refused callers to retry soon, so that they reach other nodes.
+//! Coordinators that no longer receive each other's heartbeats (`quota/peers.rs`) divide the quota between
+//! them. A request that was admitted but not sent is refunded.
+//!
+//! Invariant: in any window the nodes together admit at most the quota plus what arrives before the
+//! coordinators learn of it. Tests: `tests/quota.rs`, `tests/quota_peers.rs`, in fleets
+//! `tests/quota_fleet.rs`.
 
 mod allowance;
 mod coordinator;
@@ -21,36 +28,36 @@
 
 use {
     coordinator::Coordinator,
-    local::{AdmitTerms, LocalAccount},
+    local::{AdmissionInputs, LocalAccount},
     messages::PER_MILLE,
     pointvane_core::{Name, Quota},
     std::{collections::HashMap, net::SocketAddr},
 };
 
-/// What a node sees of the fleet.
+/// Connectivity of the fleet as this node sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetContact {
-    /// Whether other nodes are heard; also where there are none.
+    /// Whether messages of other nodes arrive; also true if the fleet has no other nodes.
     pub connected: bool,
-    /// Nodes of the fleet, this one included; none while none of the others was ever heard.
+    /// Number of nodes in the fleet, including this one. `None` until a message of another node has arrived.
     pub nodes: Option<usize>,
-    /// The part of them that can be reached, from 0 to 1.
+    /// Fraction of these nodes that is reachable, from 0 to 1.
     pub reached_share: f64,
 }
 
-/// What becomes of a request.
+/// Whether a request is admitted under its account's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaDecision {
-    /// It is within the quota.
+    /// The request is within the quota.
     Admitted,
-    /// It is not.
+    /// The request exceeds the quota.
     Refused {
-        /// When its caller should retry, in milliseconds.
+        /// Delay after which the caller should retry, in milliseconds.
         retry_after_ms: u32,
     },
 }
 
-/// The quotas of accounts, as one node knows them.
+/// State of all account quotas at one node, including the accounts that this node coordinates.
 #[derive(Clone, Debug)]
 pub struct Quotas {
     window_us: u64,
@@ -61,7 +68,7 @@
 }
 
 impl Quotas {
-    /// Nothing was admitted yet; quotas hold over windows of so many microseconds.
+    /// Creates an empty state for sliding windows of `window_us` microseconds.
     pub fn new(window_us: u64, now_us: u64) -> Self {
         Self {
             window_us,
@@ -72,7 +79,7 @@
         }
     }
 
-    /// Whether a request of an account is admitted; `draw` lies between 0 and 1.
+    /// Decides whether a request of an account is admitted. `draw` is a uniform random number from 0 to 1.
     pub fn admit(
         &mut self,
         account: &Name,
@@ -87,40 +94,42 @@
             None => self.accounts.entry(account.clone()).or_insert_with(|| LocalAccount::new(window_us)),
         };
         self.has_unknown |= local.was_never_reported();
-        let life_us = now_us.saturating_sub(self.started_us);
-        local.admit(&AdmitTerms { quota: quota.in_window(window_us), contact, life_us, now_us, draw })
+        let uptime_us = now_us.saturating_sub(self.started_us);
+        local.admit(&AdmissionInputs { quota: quota.in_window(window_us), contact, uptime_us, now_us, draw })
     }
 
-    /// Takes back a request that was admitted at a time and not sent.
+    /// Refunds a request that was admitted at `admitted_at_us` but not sent.
     pub fn give_back(&mut self, account: &Name, admitted_at_us: u64) {
         if let Some(local) = self.accounts.get_mut(account) {
-            local.give_back(admitted_at_us);
+            local.refund(admitted_at_us);
         }
     }
 
-    /// Whether an account was used of which no report was sent: its share is to be asked for at once.
+    /// Whether an account has requests but no report to its current coordinators yet: a report is due at
+    /// once.
     pub fn has_unknown(&self) -> bool {
         self.has_unknown
     }
 
-    /// The accounts of which requests were admitted or offered within the window.
+    /// Accounts with requests within the window.
     pub fn accounts(&self) -> impl Iterator<Item = &Name> {
         self.accounts.keys()
     }
 
-    /// Has an account reported at once: others coordinate it now, and know nothing of what was admitted.
+    /// Makes a report of an account due at once. Called when its coordinators change, since new ones have no
+    /// reports.
     pub fn report_again(&mut self, account: &Name) {
         if let Some(local) = self.accounts.get_mut(account) {
-            local.report_again();
+            local.force_report();
         }
     }
 
-    /// Whether nothing is known of any account.
+    /// Whether no account has any state at this node.
     pub fn is_idle(&self) -> bool {
         self.accounts.is_empty() && self.coordinator.is_idle()
     }
 
-    /// What the coordinators have to learn now.
+    /// Returns the usage reports that are due and marks them as sent.
     pub fn take_reports(&mut self, now_us: u64) -> Vec<AccountUsage> {
         self.has_unknown = false;
         self.accounts.retain(|_, local| !local.is_idle(now_us));
@@ -128,10 +137,10 @@
         due.map(|(account, local)| local.take_report(account, now_us)).collect()
     }
 
-    /// Takes a coordinator's shares.
+    /// Stores the shares sent by the coordinator `origin`.
     pub fn receive_shares(&mut self, origin: SocketAddr, shares: &[AccountShare], now_us: u64) {
         for share in shares {
-            // Whoever has not seen the account is to know all the same that it is near its quota.
+            // A share below 100 % is stored even before the first request of the account at this node.
             let window_us = self.window_us;
             let local = match self.accounts.get_mut(&share.account) {
                 Some(local) => local,
@@ -145,7 +154,8 @@
         }
     }
 
-    /// Takes, as a coordinator, what a life of a node uses of an account; gives the share that answers it.
+    /// Processes a usage report as a coordinator and returns the share to answer with. `reporter` is the
+    /// address of the reporting node and the incarnation of its process.
     pub fn coordinate(
         &mut self,
         reporter: (SocketAddr, u64),
@@ -158,32 +168,33 @@
         self.coordinator.share(&usage.account, contact.reached_share, now_us)
     }
 
-    /// The accounts that this node coordinates and of which it does not know who else does.
+    /// Accounts that this node coordinates and whose other coordinator has not been looked up.
     pub fn accounts_without_peer(&self) -> Vec<Name> {
         self.coordinator.accounts_without_peer()
     }
 
-    /// Takes note of the other coordinator of an account; none if this node is the only one.
+    /// Sets the other coordinator of an account, `None` if this node is the only one.
     pub fn set_peer(&mut self, account: &Name, peer: Option<SocketAddr>, now_us: u64) {
         self.coordinator.set_peer(account, peer, now_us);
     }
 
-    /// Has the other coordinators of all accounts looked up again: the membership has changed.
+    /// Marks the other coordinators of all accounts for a new lookup, after a change of membership.
     pub fn forget_peers(&mut self) {
         self.coordinator.forget_peers();
     }
 
-    /// Takes note of a message of another node; false if that is none of the other coordinators.
+    /// Records that a message arrived from a node. Returns false if that node is not one of the other
+    /// coordinators.
     pub fn heard(&mut self, from: SocketAddr, now_us: u64) -> bool {
-        self.coordinator.heard(from, now_us)
+        self.coordinator.record_message(from, now_us)
     }
 
-    /// The other coordinators that are due for a heartbeat now.
+    /// Returns the other coordinators that a heartbeat is due to, and marks these heartbeats as sent.
     pub fn take_heartbeats(&mut self, now_us: u64) -> Vec<SocketAddr> {
-        self.coordinator.take_heartbeats(now_us)
+        self.coordinator.take_due_heartbeats(now_us)
     }
 
-    /// Shares that this node, as a coordinator, has to tell all nodes now.
+    /// Returns the shares that this node, as a coordinator, has to broadcast now, and marks them as sent.
     pub fn take_broadcast(&mut self, contact: FleetContact, now_us: u64) -> Vec<AccountShare> {
         self.coordinator.take_broadcast(contact.reached_share, now_us)
     }
--- a/crates/pointvane-dispatch/src/quota/allowance.rs
+++ b/crates/pointvane-dispatch/src/quota/allowance.rs
@@ -1,44 +1,47 @@
-//! What a node admits of an account by itself, while it reaches no coordinator: an equal part of the quota in each window.
+//! The part of an account's quota that a node admits per window while it reaches no coordinator.
 //!
-//! A part that is less than one request is drawn by lot, once a window, so that the nodes together admit what their parts add up to.
+//! Every node gets an equal part. Fractions of a request are rounded at random, once per window, so that the
+//! nodes together admit the sum of their parts on average.
 
 use {super::FleetContact, pointvane_core::US_PER_MS};
 
-/// Time after its start for which a node that has heard no other yet admits nothing, in microseconds: others may have used up the quota.
-const HEARD_WITHIN_US: u64 = 500 * US_PER_MS;
-/// Part of a node that has heard no other for longer and so knows nothing of its fleet, in requests.
-const PART_UNKNOWN: f64 = 1.0;
+/// Time after its start during which a node that has received no message of another node admits nothing, in
+/// microseconds: the other nodes may have used up the quota.
+const DISCOVERY_TIMEOUT_US: u64 = 500 * US_PER_MS;
+/// Part of the quota after that time if the number of nodes is still unknown, in requests per window.
+const PART_IF_FLEET_UNKNOWN: f64 = 1.0;
 
-/// A node's part of a quota, in requests in a window; `life_us` is the time since its start.
-pub fn own_part(quota: f64, contact: FleetContact, life_us: u64) -> f64 {
+/// Returns a node's part of a quota; `quota` and the part are in requests per window. `uptime_us` is the time
+/// since the node started.
+pub fn equal_part(quota: f64, contact: FleetContact, uptime_us: u64) -> f64 {
     match contact.nodes {
         Some(nodes) => quota / nodes.max(1) as f64,
-        None if life_us < HEARD_WITHIN_US => 0.0,
-        None => PART_UNKNOWN,
+        None if uptime_us < DISCOVERY_TIMEOUT_US => 0.0,
+        None => PART_IF_FLEET_UNKNOWN,
     }
 }
 
-/// A number between 0 and 1, drawn once a window.
+/// A random number from 0 to 1 that is used for the whole of one window.
 #[derive(Clone, Copy, Debug)]
-struct Lot {
+struct WindowDraw {
     draw: f32,
     until_us: u64,
 }
 
-/// The lot of one account at one node.
+/// Random rounding of one account's part at one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Allowance {
-    lot: Option<Lot>,
+    window_draw: Option<WindowDraw>,
 }
 
 impl Allowance {
-    /// Whether a part of the quota covers one request more than were admitted within the window.
+    /// Whether a part of the quota covers one more request, given the number admitted within the window.
     pub fn covers(&mut self, part: f64, admitted: u32, window_us: u64, now_us: u64, draw: f32) -> bool {
-        let lot = match self.lot {
-            Some(lot) if now_us < lot.until_us => lot,
-            _ => Lot { draw, until_us: now_us + window_us },
+        let window_draw = match self.window_draw {
+            Some(window_draw) if now_us < window_draw.until_us => window_draw,
+            _ => WindowDraw { draw, until_us: now_us + window_us },
         };
-        self.lot = Some(lot);
-        part - f64::from(admitted) > f64::from(lot.draw)
+        self.window_draw = Some(window_draw);
+        part - f64::from(admitted) > f64::from(window_draw.draw)
     }
 }
--- a/crates/pointvane-dispatch/src/quota/local.rs
+++ b/crates/pointvane-dispatch/src/quota/local.rs
@@ -1,9 +1,10 @@
-//! What one node knows of one account: what it has admitted, and the shares that coordinators told it.
+//! State of one account at one node: the requests that it admitted, and the shares received from
+//! coordinators.
 
 use {
     super::{
         FleetContact, QuotaDecision,
-        allowance::{Allowance, own_part},
+        allowance::{Allowance, equal_part},
         messages::{AccountShare, AccountUsage, PER_MILLE, ToldUse},
         usage::Usage,
     },
@@ -11,20 +12,22 @@
     std::net::SocketAddr,
 };
 
-/// Time between two reports on an account that has used little of its quota, in microseconds.
-const REPORT_US: u64 = 250 * US_PER_MS;
-/// The same near the quota.
-const REPORT_NEAR_US: u64 = 100 * US_PER_MS;
-/// Part of the quota from which on reports are more frequent, in thousandths.
-const NEAR_PER_MILLE: u16 = 300;
-/// Time for which a coordinator's share holds, in microseconds.
-const SHARE_HOLDS_US: u64 = 1_500 * US_PER_MS;
-/// Time without an answer to a report after which the coordinators count as lost, in microseconds: shares that were told before hold no more.
-const ANSWER_WITHIN_US: u64 = 250 * US_PER_MS;
-/// When a caller should retry that a node refused which knows of no other, in milliseconds: another node may know more.
-const RETRY_ELSEWHERE_MS: u32 = 50;
-
-/// A coordinator's share, as it was received.
+/// Shortest time between two reports on an account that is not near its quota, in microseconds.
+const REPORT_INTERVAL_US: u64 = 250 * US_PER_MS;
+/// Shortest time between two reports on an account that is near its quota, in microseconds.
+const REPORT_INTERVAL_NEAR_QUOTA_US: u64 = 100 * US_PER_MS;
+/// Used part of the quota from which an account counts as near its quota, in thousandths.
+const NEAR_QUOTA_PER_MILLE: u16 = 300;
+/// Time for which a received share is valid, in microseconds.
+const SHARE_LIFETIME_US: u64 = 1_500 * US_PER_MS;
+/// Time without an answer to a report after which the coordinators count as unreachable, in microseconds.
+/// Shares received before are then ignored.
+const ANSWER_TIMEOUT_US: u64 = 250 * US_PER_MS;
+/// Delay after which a caller should retry if the node that refused it reaches no coordinator, in
+/// milliseconds. It is short because another node may reach one.
+const RETRY_AT_OTHER_NODE_MS: u32 = 50;
+
+/// The last share received from one coordinator.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedShare {
     origin: SocketAddr,
@@ -35,11 +38,13 @@
 }
 
 impl ReceivedShare {
-    fn holds(&self, now_us: u64) -> bool {
-        now_us.saturating_sub(self.received_at_us) < SHARE_HOLDS_US
+    /// Whether the share has not expired.
+    fn is_valid(&self, now_us: u64) -> bool {
+        now_us.saturating_sub(self.received_at_us) < SHARE_LIFETIME_US
     }
 
-    fn drawn(&self, draw: f32) -> QuotaDecision {
+    /// Admits a request if its random number from 0 to 1 lies below the share.
+    fn decide(&self, draw: f32) -> QuotaDecision {
         if draw * PER_MILLE < f32::from(self.share_per_mille) {
             QuotaDecision::Admitted
         } else {
@@ -48,39 +53,40 @@
     }
 }
 
-/// What this node knows of one account.
+/// State of one account at this node.
 #[derive(Clone, Debug)]
 pub struct LocalAccount {
     usage: Usage,
-    /// Whether anything was offered since the last report.
+    /// Whether a request was offered or refunded since the last report.
     unreported: bool,
     reported_at_us: u64,
-    /// When the first report was sent that no coordinator has answered.
+    /// When the first report was sent since a coordinator last answered.
     unanswered_since_us: Option<u64>,
-    /// The last share of each coordinator.
+    /// The last share of each coordinator; some may have expired.
     shares: Vec<ReceivedShare>,
-    /// The greatest use that was told last, and when, in microseconds of the steady clock.
-    told: Option<(u16, u64)>,
+    /// Highest fleet-wide usage received lately, in thousandths of the quota, and the time of receipt in
+    /// microseconds of the monotonic clock.
+    fleet_usage: Option<(u16, u64)>,
     allowance: Allowance,
     window_us: u64,
 }
 
-/// What a request is decided by, besides what is known of its account.
+/// Inputs to the decision on a request, besides the state of its account.
 #[derive(Clone, Copy, Debug)]
-pub struct AdmitTerms {
-    /// Requests that the account may use in a window.
+pub struct AdmissionInputs {
+    /// Quota of the account, in requests per window.
     pub quota: f64,
-    /// What the node sees of the fleet.
+    /// Connectivity of the fleet as the node sees it.
     pub contact: FleetContact,
     /// Time since the node started, in microseconds.
-    pub life_us: u64,
+    pub uptime_us: u64,
     pub now_us: u64,
-    /// Lies between 0 and 1.
+    /// A uniform random number from 0 to 1.
     pub draw: f32,
 }
 
 impl LocalAccount {
-    /// Nothing was admitted yet, for a window of so many microseconds.
+    /// Creates an empty state for a window of `window_us` microseconds.
     pub fn new(window_us: u64) -> Self {
         Self {
             usage: Usage::new(window_us),
@@ -88,74 +94,78 @@
             reported_at_us: 0,
             unanswered_since_us: None,
             shares: Vec::new(),
-            told: None,
+            fleet_usage: None,
             allowance: Allowance::default(),
             window_us,
         }
     }
 
-    /// Takes what a coordinator says of the use of the account; of two coordinators the one that knows of more counts.
-    fn hear_use(&mut self, used_per_mille: u16, now_us: u64) {
-        let knows_less = |(used, at_us): (u16, u64)| {
-            used > used_per_mille && now_us.saturating_sub(at_us) < SHARE_HOLDS_US
+    /// Records the fleet-wide usage that a coordinator sent, unless a higher value was received within the
+    /// lifetime of a share: two coordinators may have received different reports.
+    fn record_fleet_usage(&mut self, used_per_mille: u16, now_us: u64) {
+        let is_higher = |(used, at_us): (u16, u64)| {
+            used > used_per_mille && now_us.saturating_sub(at_us) < SHARE_LIFETIME_US
         };
-        if !self.told.is_some_and(knows_less) {
-            self.told = Some((used_per_mille, now_us));
+        if !self.fleet_usage.is_some_and(is_higher) {
+            self.fleet_usage = Some((used_per_mille, now_us));
         }
     }
 
-    fn told(&self, now_us: u64) -> Option<ToldUse> {
-        self.told.map(|(used_per_mille, at_us)| {
+    /// Returns the recorded fleet-wide usage with its age.
+    fn fleet_usage(&self, now_us: u64) -> Option<ToldUse> {
+        self.fleet_usage.map(|(used_per_mille, at_us)| {
             let ago_ms = now_us.saturating_sub(at_us) / US_PER_MS;
             ToldUse { used_per_mille, ago_ms: u32::try_from(ago_ms).unwrap_or(u32::MAX) }
         })
     }
 
-    /// The smallest share that holds.
-    fn share(&self, now_us: u64) -> Option<ReceivedShare> {
-        let holding = self.shares.iter().filter(|share| share.holds(now_us));
-        holding.min_by_key(|share| share.share_per_mille).copied()
+    /// Returns the smallest share that has not expired.
+    fn smallest_valid_share(&self, now_us: u64) -> Option<ReceivedShare> {
+        let valid = self.shares.iter().filter(|share| share.is_valid(now_us));
+        valid.min_by_key(|share| share.share_per_mille).copied()
     }
 
-    /// Whether a request is admitted.
-    pub fn admit(&mut self, terms: &AdmitTerms) -> QuotaDecision {
-        let AdmitTerms { contact, now_us, draw, .. } = *terms;
-        self.usage.offer(now_us);
+    /// Decides whether a request is admitted, and counts it.
+    pub fn admit(&mut self, inputs: &AdmissionInputs) -> QuotaDecision {
+        let AdmissionInputs { contact, now_us, draw, .. } = *inputs;
+        self.usage.record_offered(now_us);
         self.unreported = true;
-        let decision = match self.share(now_us) {
-            _ if !contact.connected || self.are_coordinators_lost(now_us) => self.within_allowance(terms),
-            Some(share) => share.drawn(draw),
+        let decision = match self.smallest_valid_share(now_us) {
+            _ if !contact.connected || self.are_coordinators_unreachable(now_us) => {
+                self.decide_by_allowance(inputs)
+            }
+            Some(share) => share.decide(draw),
             None => QuotaDecision::Admitted,
         };
         if decision == QuotaDecision::Admitted {
-            self.usage.admit(now_us);
+            self.usage.record_admitted(now_us);
         }
         decision
     }
 
-    /// Decides by this node's own part of the quota.
-    fn within_allowance(&mut self, terms: &AdmitTerms) -> QuotaDecision {
-        let AdmitTerms { quota, contact, life_us, now_us, draw } = *terms;
-        let part = own_part(quota, contact, life_us);
+    /// Decides by this node's equal part of the quota.
+    fn decide_by_allowance(&mut self, inputs: &AdmissionInputs) -> QuotaDecision {
+        let AdmissionInputs { quota, contact, uptime_us, now_us, draw } = *inputs;
+        let part = equal_part(quota, contact, uptime_us);
         let admitted = self.usage.admitted(now_us);
         if self.allowance.covers(part, admitted, self.window_us, now_us, draw) {
             QuotaDecision::Admitted
         } else {
-            QuotaDecision::Refused { retry_after_ms: RETRY_ELSEWHERE_MS }
+            QuotaDecision::Refused { retry_after_ms: RETRY_AT_OTHER_NODE_MS }
         }
     }
 
-    /// Takes back a request that was admitted at a time and not sent.
-    pub fn give_back(&mut self, admitted_at_us: u64) {
-        self.usage.give_back(admitted_at_us);
+    /// Refunds a request that was admitted at `admitted_at_us` but not sent.
+    pub fn refund(&mut self, admitted_at_us: u64) {
+        self.usage.refund(admitted_at_us);
         self.unreported = true;
     }
 
-    /// Takes a coordinator's share.
+    /// Stores a share sent by the coordinator `origin`.
     pub fn receive_share(&mut self, origin: SocketAddr, share: &AccountShare, now_us: u64) {
         self.unanswered_since_us = None;
-        self.hear_use(share.used_per_mille, now_us);
-        self.shares.retain(|other| other.origin != origin && other.holds(now_us));
+        self.record_fleet_usage(share.used_per_mille, now_us);
+        self.shares.retain(|other| other.origin != origin && other.is_valid(now_us));
         self.shares.push(ReceivedShare {
             origin,
             share_per_mille: share.share_per_mille,
@@ -165,33 +175,33 @@
         });
     }
 
-    /// Whether nothing of the window is left, and no share holds.
+    /// Whether there was no request within the window and no share is valid.
     pub fn is_idle(&mut self, now_us: u64) -> bool {
-        self.usage.is_idle(now_us) && self.share(now_us).is_none()
+        self.usage.is_idle(now_us) && self.smallest_valid_share(now_us).is_none()
     }
 
-    /// Whether no coordinator can know of its use.
+    /// Whether no report was sent yet, or none since the coordinators changed.
     pub fn was_never_reported(&self) -> bool {
         self.reported_at_us == 0
     }
 
-    /// Has it reported at once.
-    pub fn report_again(&mut self) {
+    /// Makes a report due at once.
+    pub fn force_report(&mut self) {
         self.unreported = true;
         self.reported_at_us = 0;
     }
 
-    /// Whether its use is to be reported now.
+    /// Whether a report is due now.
     pub fn is_report_due(&self, now_us: u64) -> bool {
-        let share = self.share(now_us);
-        let near = share.is_some_and(|share| share.used_per_mille >= NEAR_PER_MILLE);
-        let interval_us = if near { REPORT_NEAR_US } else { REPORT_US };
-        // One that was not answered is sent again: the answer tells whether the coordinators can be reached.
-        let is_wanted = self.unreported || self.unanswered_since_us.is_some();
-        is_wanted && now_us.saturating_sub(self.reported_at_us) >= interval_us
+        let share = self.smallest_valid_share(now_us);
+        let is_near_quota = share.is_some_and(|share| share.used_per_mille >= NEAR_QUOTA_PER_MILLE);
+        let interval_us = if is_near_quota { REPORT_INTERVAL_NEAR_QUOTA_US } else { REPORT_INTERVAL_US };
+        // An unanswered report is repeated, since an answer shows that a coordinator is reachable.
+        let has_to_report = self.unreported || self.unanswered_since_us.is_some();
+        has_to_report && now_us.saturating_sub(self.reported_at_us) >= interval_us
     }
 
-    /// Its use, for its coordinators.
+    /// Returns a usage report for the coordinators of `account` and marks it as sent.
     pub fn take_report(&mut self, account: &Name, now_us: u64) -> AccountUsage {
         self.unreported = false;
         self.reported_at_us = now_us;
@@ -200,11 +210,12 @@
             account: account.clone(),
             admitted: self.usage.admitted_by_fifths(now_us),
             offered_per_1000_s: self.usage.offered_per_1000_s(now_us),
-            told: self.told(now_us),
+            told: self.fleet_usage(now_us),
         }
     }
 
-    fn are_coordinators_lost(&self, now_us: u64) -> bool {
-        self.unanswered_since_us.is_some_and(|since_us| now_us.saturating_sub(since_us) >= ANSWER_WITHIN_US)
+    /// Whether no coordinator has answered a report within the timeout.
+    fn are_coordinators_unreachable(&self, now_us: u64) -> bool {
+        self.unanswered_since_us.is_some_and(|since_us| now_us.saturating_sub(since_us) >= ANSWER_TIMEOUT_US)
     }
 }
--- a/crates/pointvane-dispatch/src/quota/messages.rs
+++ b/crates/pointvane-dispatch/src/quota/messages.rs
@@ -1,4 +1,4 @@
-//! What nodes and the coordinators of accounts tell each other of quotas.
+//! Quota messages between nodes and the coordinators of accounts.
 
 use {
     crate::replica::fan_out::Segment,
@@ -7,74 +7,76 @@
     std::net::SocketAddr,
 };
 
-/// Accounts in one datagram at most: with names of up to 64 bytes they fit.
+/// Most accounts in one datagram. This many fit even if each name has 64 bytes.
 pub const ACCOUNTS_MAX: usize = 16;
 
-/// Parts of the window by which requests are reported.
+/// Number of equal parts of the window by which admitted requests are reported.
 pub const FIFTHS: usize = 5;
 
-/// Parts of a whole in the shares of messages.
+/// Value of a share of 100 %: shares in messages are in thousandths.
 pub const PER_MILLE: f32 = 1_000.0;
 
-/// A datagram between nodes.
+/// A datagram between nodes. Encoded by position: the order of variants and fields is part of the wire
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaMessage {
-    /// What the sender uses of some accounts, for their coordinator.
+    /// Usage report of the sender for some accounts, to one of their coordinators.
     Usage {
-        /// The life of the sender; a later life begins to count anew.
+        /// Incarnation of the sender's process. Each incarnation counts from zero.
         life: u64,
-        /// The accounts.
+        /// Usage by account.
         accounts: Vec<AccountUsage>,
     },
-    /// How much of the requests of some accounts may be admitted.
+    /// Shares of the requests of some accounts that nodes may admit.
     Shares {
-        /// The coordinator.
+        /// Address of the coordinator that computed the shares.
         origin: SocketAddr,
-        /// The range of nodes that the receiver forwards it to.
+        /// Range of nodes that the receiver forwards the message to.
         segment: Segment,
-        /// The accounts.
+        /// Shares by account.
         accounts: Vec<AccountShare>,
     },
-    /// The sender coordinates accounts together with the receiver, and lives.
+    /// Liveness message between two coordinators of the same accounts.
     Heartbeat {
-        /// Where the sender takes these messages, as it is advertised: what its datagrams come from may differ.
+        /// Advertised address at which the sender receives heartbeats; the source address of its datagrams
+        /// may differ.
         origin: SocketAddr,
-        /// Whether the receiver is to send one back.
+        /// Whether the receiver should reply with a heartbeat.
         wants_reply: bool,
     },
 }
 
-/// What one node uses of an account.
+/// Usage of an account at one node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountUsage {
-    /// The account.
+    /// Name of the account.
     pub account: Name,
-    /// Requests that the node admitted within the window, by fifths of it, the last one first.
+    /// Requests that the node admitted within the window, by fifths of the window, the most recent first.
     pub admitted: [u32; FIFTHS],
-    /// Requests in a thousand seconds that ask to be admitted there now.
+    /// Current rate of requests offered at the node, admitted or not, in requests per 1000 s.
     pub offered_per_1000_s: u32,
-    /// What a coordinator said last of the requests that all nodes have admitted.
+    /// Fleet-wide usage that a coordinator last sent to the node.
     pub told: Option<ToldUse>,
 }
 
-/// What a node was told of the use of an account, for a coordinator that does not know it.
+/// Fleet-wide usage of an account, passed on by a node to a coordinator that may not know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToldUse {
-    /// Part of the quota that was used, in thousandths.
+    /// Used part of the quota, in thousandths.
     pub used_per_mille: u16,
-    /// How long ago it was told, in milliseconds.
+    /// Age of this value, in milliseconds.
     pub ago_ms: u32,
 }
 
-/// How much of an account's requests each node may admit.
+/// Share of an account's requests that each node may admit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountShare {
-    /// The account.
+    /// Name of the account.
     pub account: Name,
-    /// The part of the requests, in thousandths.
+    /// Share of the requests to admit, in thousandths.
     pub share_per_mille: u16,
-    /// The part of the quota that is used, in thousandths.
+    /// Used part of the quota over all nodes, in thousandths.
     pub used_per_mille: u16,
-    /// When a caller that is refused should retry, in milliseconds.
+    /// Delay after which refused callers should retry, in milliseconds.
     pub retry_after_ms: u32,
 }
--- a/crates/pointvane-dispatch/src/quota/usage.rs
+++ b/crates/pointvane-dispatch/src/quota/usage.rs
@@ -1,99 +1,102 @@
-//! What one node has admitted of an account's requests within the window, and how many it was asked to admit just now.
+//! Counts of an account's requests at one node: those admitted within the window, and the current rate of
+//! those offered.
 
 use {super::messages::FIFTHS, pointvane_core::PER_1000_S};
 
-/// Parts of the window in which requests are counted.
-const PARTS: usize = 20;
-/// Parts counted: those of the whole window and the one that has begun.
-const COUNTED: usize = PARTS + 1;
-/// Parts over which the rate of offered requests is taken, the one that has begun included.
-const RATE_PARTS: u64 = 2;
+/// Number of buckets that the window is divided into.
+const BUCKETS: usize = 20;
+/// Number of buckets kept: those of a whole window, and the current one, which is incomplete.
+const BUCKETS_KEPT: usize = BUCKETS + 1;
+/// Number of buckets, including the current one, over which the rate of offered requests is computed.
+const RATE_BUCKETS: u64 = 2;
 /// Microseconds in a second.
 const US_PER_S: f64 = 1e6;
 
-/// Requests of one account at one node, by parts of the window.
+/// Request counts of one account at one node, in a ring of time buckets.
 #[derive(Clone, Debug)]
 pub struct Usage {
-    part_us: u64,
-    admitted: [u32; COUNTED],
-    offered: [u32; COUNTED],
-    /// Number of the newest part since the clock's start.
-    newest: u64,
+    bucket_us: u64,
+    admitted: [u32; BUCKETS_KEPT],
+    offered: [u32; BUCKETS_KEPT],
+    /// Number of the newest bucket, counted from the start of the clock.
+    newest_bucket: u64,
 }
 
 impl Usage {
-    /// None yet, for a window of so many microseconds.
+    /// Creates empty counts for a window of `window_us` microseconds.
     pub fn new(window_us: u64) -> Self {
-        let part_us = (window_us / PARTS as u64).max(1);
-        Self { part_us, admitted: [0; COUNTED], offered: [0; COUNTED], newest: 0 }
+        let bucket_us = (window_us / BUCKETS as u64).max(1);
+        Self { bucket_us, admitted: [0; BUCKETS_KEPT], offered: [0; BUCKETS_KEPT], newest_bucket: 0 }
     }
 
-    /// Counts a request that asks to be admitted.
-    pub fn offer(&mut self, now_us: u64) {
-        let place = self.advance(now_us);
-        self.offered[place] += 1;
+    /// Counts an offered request, whether or not it is then admitted.
+    pub fn record_offered(&mut self, now_us: u64) {
+        let slot = self.advance(now_us);
+        self.offered[slot] += 1;
     }
 
-    /// Counts a request that is admitted.
-    pub fn admit(&mut self, now_us: u64) {
-        let place = self.advance(now_us);
-        self.admitted[place] += 1;
+    /// Counts an admitted request.
+    pub fn record_admitted(&mut self, now_us: u64) {
+        let slot = self.advance(now_us);
+        self.admitted[slot] += 1;
     }
 
-    /// Takes back a request that was admitted at a time and not sent.
-    pub fn give_back(&mut self, admitted_at_us: u64) {
-        let part = admitted_at_us / self.part_us;
-        if part + COUNTED as u64 > self.newest {
-            let place = place(part);
-            self.admitted[place] = self.admitted[place].saturating_sub(1);
+    /// Refunds a request that was admitted at `admitted_at_us` but not sent.
+    pub fn refund(&mut self, admitted_at_us: u64) {
+        let bucket = admitted_at_us / self.bucket_us;
+        if bucket + BUCKETS_KEPT as u64 > self.newest_bucket {
+            let slot = slot(bucket);
+            self.admitted[slot] = self.admitted[slot].saturating_sub(1);
         }
     }
 
-    /// Requests admitted within the window.
+    /// Returns the number of requests admitted within the window.
     pub fn admitted(&mut self, now_us: u64) -> u32 {
         self.advance(now_us);
         self.admitted.iter().sum()
     }
 
-    /// The same by fifths of the window, the last one first; the part that has begun counts with the last.
+    /// Returns the same number by fifths of the window, the most recent first. The current bucket belongs to
+    /// that one.
     pub fn admitted_by_fifths(&mut self, now_us: u64) -> [u32; FIFTHS] {
         self.advance(now_us);
         let mut fifths = [0; FIFTHS];
-        for age in (0..COUNTED as u64).filter(|age| *age <= self.newest) {
-            let fifth = age.saturating_sub(1) as usize * FIFTHS / PARTS;
-            fifths[fifth] += self.admitted[place(self.newest - age)];
+        for age in (0..BUCKETS_KEPT as u64).filter(|age| *age <= self.newest_bucket) {
+            let fifth = age.saturating_sub(1) as usize * FIFTHS / BUCKETS;
+            fifths[fifth] += self.admitted[slot(self.newest_bucket - age)];
         }
         fifths
     }
 
-    /// Requests offered in a thousand seconds, at the rate of the last parts.
+    /// Returns the rate of offered requests over the last `RATE_BUCKETS` buckets, in requests per 1000 s.
     pub fn offered_per_1000_s(&mut self, now_us: u64) -> u32 {
         self.advance(now_us);
-        let first = self.newest.saturating_sub(RATE_PARTS - 1);
-        let offered: u32 = (first..=self.newest).map(|part| self.offered[place(part)]).sum();
-        let span_us = RATE_PARTS * self.part_us;
+        let first = self.newest_bucket.saturating_sub(RATE_BUCKETS - 1);
+        let offered: u32 = (first..=self.newest_bucket).map(|bucket| self.offered[slot(bucket)]).sum();
+        let span_us = RATE_BUCKETS * self.bucket_us;
         (f64::from(offered) * PER_1000_S * US_PER_S / span_us as f64) as u32
     }
 
-    /// Whether nothing of the window is left.
+    /// Whether no request was offered or admitted within the window.
     pub fn is_idle(&mut self, now_us: u64) -> bool {
         self.advance(now_us);
         self.admitted.iter().chain(&self.offered).all(|count| *count == 0)
     }
 
-    /// Empties the parts that have left the window; the place of the newest one.
+    /// Clears the buckets that have left the window and returns the slot of the newest one.
     fn advance(&mut self, now_us: u64) -> usize {
-        let part = now_us / self.part_us;
-        let passed = part.saturating_sub(self.newest).min(COUNTED as u64);
+        let bucket = now_us / self.bucket_us;
+        let passed = bucket.saturating_sub(self.newest_bucket).min(BUCKETS_KEPT as u64);
         for step in 0..passed {
-            let place = place(part - step);
-            (self.admitted[place], self.offered[place]) = (0, 0);
+            let slot = slot(bucket - step);
+            (self.admitted[slot], self.offered[slot]) = (0, 0);
         }
-        self.newest = self.newest.max(part);
-        place(self.newest)
+        self.newest_bucket = self.newest_bucket.max(bucket);
+        slot(self.newest_bucket)
     }
 }
 
-fn place(part: u64) -> usize {
-    (part % COUNTED as u64) as usize
+/// Returns the index of a bucket in the ring.
+fn slot(bucket: u64) -> usize {
+    (bucket % BUCKETS_KEPT as u64) as usize
 }
