--- a/crates/pointvane-dispatch/benches/quota_quantiles.rs
+++ b/crates/pointvane-dispatch/benches/quota_quantiles.rs
@@ -1,5 +1,6 @@
-//! What a decision on a quota costs at the median and in one of a hundred requests, and how often it allocates:
-//! `cargo bench -p pointvane-dispatch --bench quota_quantiles`. Single calls are timed, the clock's own cost included.
+//! Duration of a quota decision (median and 99th percentile) and its number of allocations: `cargo bench -p
+//! pointvane-dispatch --bench quota_quantiles`. Each call is timed on its own, so the figures include the
+//! cost of reading the clock.
 
 use {
     pointvane_core::{Name, Quota},
@@ -7,18 +8,18 @@
     std::{hint::black_box, net::SocketAddr, time::Instant},
 };
 
-/// Accounts that a node has seen within a window.
+/// Numbers of accounts with requests within the window.
 const ACCOUNTS: [usize; 3] = [1, 72, 5_000];
 const CALLS: usize = 100_000;
 const WINDOW_US: u64 = 5_000_000;
-const STEP_US: u64 = 50;
+const CALL_INTERVAL_US: u64 = 50;
 const QUOTA: Quota = Quota { requests_per_1000_s: 8_000_000, burst: 8_000 };
 const CONTACT: FleetContact = FleetContact { connected: true, nodes: Some(586), reached_share: 1.0 };
 
 fn main() {
-    for size in ACCOUNTS {
+    for account_count in ACCOUNTS {
         let accounts: Vec<Name> =
-            (0..size).map(|number| format!("account-{number}").as_str().into()).collect();
+            (0..account_count).map(|number| format!("account-{number}").as_str().into()).collect();
         let mut quotas = Quotas::new(WINDOW_US, 0);
         let mut now_us = 2 * WINDOW_US;
         let origin = SocketAddr::from(([10, 0, 0, 1], 7_660));
@@ -32,8 +33,8 @@
         accounts.iter().for_each(|account| _ = quotas.admit(account, QUOTA, CONTACT, now_us, 0.5));
         let mut times_ns: Vec<u128> = (0..CALLS)
             .map(|call| {
-                now_us += STEP_US;
-                let account = &accounts[call % size];
+                now_us += CALL_INTERVAL_US;
+                let account = &accounts[call % account_count];
                 let began = Instant::now();
                 black_box(quotas.admit(black_box(account), QUOTA, CONTACT, now_us, 0.5));
                 began.elapsed().as_nanos()
@@ -45,7 +46,7 @@
             black_box(quotas.admit(&accounts[0], QUOTA, CONTACT, now_us, 0.5));
         });
         println!(
-            "{size} accounts: p50 {} ns, p99 {} ns, {} allocations",
+            "{account_count} accounts: p50 {} ns, p99 {} ns, {} allocations",
             quantile(50),
             quantile(99),
             allocated.count_total
--- a/crates/pointvane-dispatch/src/quota/messages.rs
+++ b/crates/pointvane-dispatch/src/quota/messages.rs
@@ -7,7 +7,7 @@
     std::net::SocketAddr,
 };
 
-/// Most accounts in one datagram. This many fit even if each name has 64 bytes.
+/// Maximum number of accounts in one datagram. This many fit even if each name has 64 bytes.
 pub const ACCOUNTS_MAX: usize = 16;
 
 /// Number of equal parts of the window by which admitted requests are reported.
--- a/crates/pointvane-dispatch/tests/quota_peers.rs
+++ b/crates/pointvane-dispatch/tests/quota_peers.rs
@@ -1,4 +1,5 @@
-//! Coordinators of the same accounts: heartbeats between them, and what each gives out when it does not hear the other.
+//! Coordinators of the same accounts: heartbeats between them, and the quota that each grants when the other
+//! is unreachable.
 
 use {
     googletest::prelude::*,
@@ -7,11 +8,13 @@
     std::net::SocketAddr,
 };
 
+/// One millisecond, in microseconds.
 const MS: u64 = 1_000;
+/// One second, in microseconds.
 const S: u64 = 1_000_000;
 const WINDOW_US: u64 = 5 * S;
 const NOW_US: u64 = 100 * S;
-/// Fifteen in a window.
+/// Allows 15 requests per window.
 const QUOTA: Quota = Quota { requests_per_1000_s: 2_000, burst: 5 };
 const CONTACT: FleetContact = FleetContact { connected: true, nodes: Some(10), reached_share: 1.0 };
 
@@ -23,15 +26,15 @@
     SocketAddr::from(([10, 0, 0, last], 7_663))
 }
 
-/// A node that coordinates an account of which nine requests were admitted.
+/// Returns a node that coordinates some accounts, with nine requests admitted of each.
 fn coordinator(accounts: u8) -> Quotas {
     let mut quotas = Quotas::new(WINDOW_US, 0);
-    (0..accounts).for_each(|number| _ = used_share(&mut quotas, number, NOW_US));
+    (0..accounts).for_each(|number| _ = share_answered_to_report(&mut quotas, number, NOW_US));
     quotas
 }
 
-/// The share that answers a report of nine requests, with ten a second more offered.
-fn used_share(quotas: &mut Quotas, number: u8, now_us: u64) -> u16 {
+/// Returns the share answered to a report of nine admitted requests and ten offered per second.
+fn share_answered_to_report(quotas: &mut Quotas, number: u8, now_us: u64) -> u16 {
     let usage = AccountUsage {
         account: account(number),
         admitted: [9, 0, 0, 0, 0],
@@ -41,42 +44,48 @@
     quotas.coordinate((address(1), 1), &usage, QUOTA, CONTACT, now_us).unwrap().share_per_mille
 }
 
-/// A fleet cut in two, each part with one coordinator: for the 1.4 s until the membership noticed, each gave out the whole quota.
+/// Guards against overshoot after a partition that leaves one coordinator in each part: each granted the
+/// whole quota for the 1.4 s until the membership detected the partition.
 #[gtest]
-fn a_coordinator_that_does_not_hear_the_other_gives_out_a_part_of_the_quota() {
+fn a_coordinator_whose_peer_is_unreachable_grants_a_part_of_the_quota() {
     let mut quotas = coordinator(1);
     quotas.set_peer(&account(0), Some(address(2)), NOW_US);
-    expect_that!(used_share(&mut quotas, 0, NOW_US + 300 * MS), eq(1_000));
-    expect_that!(used_share(&mut quotas, 0, NOW_US + 400 * MS), eq(0), "nine of 8.25 are used");
+    expect_that!(share_answered_to_report(&mut quotas, 0, NOW_US + 300 * MS), eq(1_000));
+    expect_that!(
+        share_answered_to_report(&mut quotas, 0, NOW_US + 400 * MS),
+        eq(0),
+        "9 requests admitted, 8.25 granted"
+    );
     expect_that!(quotas.heard(address(2), NOW_US + 400 * MS), eq(true));
-    expect_that!(used_share(&mut quotas, 0, NOW_US + 400 * MS), eq(1_000));
+    expect_that!(share_answered_to_report(&mut quotas, 0, NOW_US + 400 * MS), eq(1_000));
 }
 
 #[gtest]
-fn one_that_is_alone_or_does_not_know_the_other_yet_gives_out_the_whole() {
+fn a_coordinator_without_a_known_peer_grants_the_whole_quota() {
     let mut quotas = coordinator(1);
     expect_that!(quotas.accounts_without_peer(), elements_are![eq(&account(0))]);
-    expect_that!(used_share(&mut quotas, 0, NOW_US + 2 * S), eq(1_000));
+    expect_that!(share_answered_to_report(&mut quotas, 0, NOW_US + 2 * S), eq(1_000));
     quotas.set_peer(&account(0), None, NOW_US + 2 * S);
     expect_that!(quotas.accounts_without_peer(), is_empty());
-    expect_that!(used_share(&mut quotas, 0, NOW_US + 4 * S), eq(1_000));
+    expect_that!(share_answered_to_report(&mut quotas, 0, NOW_US + 4 * S), eq(1_000));
     expect_that!(quotas.take_heartbeats(NOW_US + 4 * S), is_empty());
     quotas.forget_peers();
     expect_that!(quotas.accounts_without_peer().len(), eq(1));
 }
 
 #[gtest]
-fn heartbeats_go_to_each_other_coordinator_once_whatever_they_share_and_no_more_than_a_hundred_a_second() {
+fn heartbeats_are_sent_once_per_peer_and_at_most_100_times_per_second() {
     let mut quotas = coordinator(40);
     (0..40).for_each(|number| quotas.set_peer(&account(number), Some(address(number / 2)), NOW_US));
     let sent: usize = (0..1_000).map(|step| quotas.take_heartbeats(NOW_US + step * 10 * MS).len()).sum();
-    expect_that!(sent, all!(ge(1_000), le(1_020)), "to twenty others in ten seconds, the first at once");
-    expect_that!(quotas.heard(address(200), NOW_US), eq(false), "none of them");
+    expect_that!(sent, all!(ge(1_000), le(1_020)), "20 peers in 10 s, the first heartbeats at once");
+    expect_that!(quotas.heard(address(200), NOW_US), eq(false), "not a peer of any account");
 }
 
-/// Checks that come a little early left out every other heartbeat, and the loss of one made a coordinator silent.
+/// Without a tolerance, polls slightly before the due time skipped every other heartbeat, and the loss of one
+/// more made a coordinator count as unreachable.
 #[gtest]
-fn a_check_that_comes_a_little_early_sends_its_heartbeat_all_the_same() {
+fn a_poll_slightly_before_the_due_time_still_sends_the_heartbeat() {
     let mut quotas = coordinator(1);
     quotas.set_peer(&account(0), Some(address(2)), NOW_US);
     let at_us = |step: u64| NOW_US + step * 100 * MS - step % 2 * 5 * MS;
@@ -85,7 +94,7 @@
 }
 
 #[gtest]
-fn heartbeats_end_with_the_accounts() {
+fn heartbeats_stop_when_no_account_is_left() {
     let mut quotas = coordinator(1);
     quotas.set_peer(&account(0), Some(address(2)), NOW_US);
     expect_that!(quotas.take_heartbeats(NOW_US), elements_are![eq(&address(2))]);
