--- a/crates/pointvane-dispatch/src/quarantine/crash_history.rs
+++ b/crates/pointvane-dispatch/src/quarantine/crash_history.rs
@@ -1,116 +1,120 @@
-//! What is known against a request: crashes of upstreams while it ran there, one after another, and whether it has run well since.
+//! Evidence about one request: the sequence of upstream crashes while it ran, and its last successful run.
 
 use serde::{Deserialize, Serialize};
 
-/// Crashes of one request that are kept. Not measured: bounds memory and datagrams; the time of quarantine has reached its longest by then.
-pub(super) const CRASHES_KEPT: usize = 8;
-/// Times go between nodes in whole milliseconds: what lies no further apart may be at the same time, in microseconds.
-const ROUNDING_US: i64 = 1_000;
-/// Time by which a run has to begin after a crash that another node saw, in microseconds: longer than ways between nodes differ, and shorter
-/// than a caller takes to come back.
+/// Maximum number of crashes retained for one request. Bounds memory and datagram size; the hold time has reached its
+/// maximum before this many crashes.
+pub(super) const CRASHES_MAX: usize = 8;
+/// Resolution of ages in messages between nodes, in microseconds. Events no further apart may have been simultaneous.
+const AGE_RESOLUTION_US: i64 = 1_000;
+/// Minimum time between a crash reported by another node and the start of a run that counts as its successor, in
+/// microseconds. Exceeds the difference in latency between nodes and is shorter than the retry delay of callers.
 ///
-/// Without it, and with crashes at the same moment taken for a row, up to 46 of 7,253 innocent attempts were refused in simulated fleets of
-/// which all upstreams crash at once, since some had just been sent; with it none. Not measured at other values.
-const GAP_US: i64 = 5_000;
+/// Without this gap, and with simultaneous crashes counted as sequential, up to 46 of 7,253 attempts were refused
+/// wrongly in simulated fleets whose upstreams all crashed at once, because some had just been sent; with it none.
+const REMOTE_GAP_MIN_US: i64 = 5_000;
 
-/// Identity of a crash under a request.
+/// Identifies a crash under a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CrashId {
-    /// The node that saw it.
+    /// Identity of the node that observed the crash.
     pub reporter: u64,
-    /// Number of the crash at that node; rises over its lives.
+    /// Sequence number of the crash on that node; increases across restarts of its process.
     pub number: u64,
 }
 
-/// A crash of an upstream while a request ran there.
+/// A crash of an upstream while it ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Crash {
     pub id: CrashId,
-    /// When the request was sent there, in microseconds of this node's steady clock; before its zero if the node is younger.
+    /// When the request was sent, in microseconds of this node's monotonic clock; negative if before that clock's zero.
     pub began_at_us: i64,
-    /// When the upstream was found to have crashed.
+    /// When the crash was detected, in microseconds of the same clock.
     pub ended_at_us: i64,
 }
 
 impl Crash {
-    /// Whether the request was sent after an earlier crash was over.
+    /// Returns true if the request was sent after the crash `before` had been detected.
     fn follows(&self, before: &Self) -> bool {
-        let gap_us = if self.id.reporter == before.id.reporter { -ROUNDING_US } else { GAP_US };
+        let gap_us =
+            if self.id.reporter == before.id.reporter { -AGE_RESOLUTION_US } else { REMOTE_GAP_MIN_US };
         self.began_at_us >= before.ended_at_us.saturating_add(gap_us)
-            && self.ended_at_us > before.ended_at_us.saturating_add(ROUNDING_US)
+            && self.ended_at_us > before.ended_at_us.saturating_add(AGE_RESOLUTION_US)
     }
 }
 
-/// All that is known of one request.
+/// All evidence about one request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CrashHistory {
-    /// Crashes each of which began after the one before was over, oldest first.
+    /// Sequential crashes, oldest first: each run began after the preceding crash.
     ///
-    /// Requests that stood in upstreams which crash for another reason break off together: a rack without power, upstreams that end at once. A
-    /// request that causes its crashes causes one after the other. So runs that overlap count once.
+    /// If upstreams crash for another reason, such as a rack losing power, the requests running on them fail together.
+    /// A request that causes crashes causes them one after another. Overlapping runs therefore count once.
     crashes: Vec<Crash>,
-    /// When it was last known to have run to a good end.
-    survived_at_us: Option<i64>,
+    /// Time of the last known successful run, in microseconds of the monotonic clock.
+    succeeded_at_us: Option<i64>,
 }
 
 impl CrashHistory {
-    /// Crashes in a row.
+    /// Returns the sequential crashes, oldest first.
     pub fn crashes(&self) -> &[Crash] {
         &self.crashes
     }
 
-    /// When it last ran well, if it has, in microseconds of the steady clock.
-    pub fn survived_at_us(&self) -> Option<i64> {
-        self.survived_at_us
+    /// Returns the time of the last successful run, in microseconds of the monotonic clock.
+    pub fn succeeded_at_us(&self) -> Option<i64> {
+        self.succeeded_at_us
     }
 
-    /// When anything was learned last, in microseconds of the steady clock.
-    pub fn latest_at_us(&self) -> i64 {
+    /// Returns the time of the newest crash or success, in microseconds of the monotonic clock.
+    pub fn last_evidence_at_us(&self) -> i64 {
         let crashed = self.crashes.last().map(|crash| crash.ended_at_us);
-        crashed.max(self.survived_at_us).unwrap_or(i64::MIN)
+        crashed.max(self.succeeded_at_us).unwrap_or(i64::MIN)
     }
 
-    /// The longest run before a crash, in microseconds.
+    /// Returns the duration of the longest run that ended in a crash, in microseconds.
     pub fn longest_run_us(&self) -> i64 {
         self.crashes.iter().map(|crash| crash.ended_at_us - crash.began_at_us).max().unwrap_or_default()
     }
 
-    /// Whether nodes other than `own` have to be believed for this, and only one of them says so.
+    /// Returns true if all crashes were reported by the same node, other than `own`.
     ///
-    /// A node that errs, behind a firewall of its own for example, sees upstreams refuse it that serve all others.
-    pub fn rests_on_one_other(&self, own: u64) -> bool {
+    /// A faulty node, for example one behind a misconfigured firewall, sees refused connections from upstreams that
+    /// serve all other nodes.
+    pub fn has_single_remote_reporter(&self, own: u64) -> bool {
         let mut reporters = self.crashes.iter().map(|crash| crash.id.reporter);
         let first = reporters.next();
         first != Some(own) && reporters.all(|reporter| Some(reporter) == first)
     }
 
-    /// Adds a crash; true if the crashes in a row have changed. May be given the same one again, and in any order.
-    pub fn add(&mut self, crash: Crash) -> bool {
-        if self.survived_at_us.is_some_and(|survived| crash.ended_at_us <= survived) {
+    /// Adds a crash and returns true if it joined the sequence. Crashes may arrive repeatedly and in any order.
+    pub fn record_crash(&mut self, crash: Crash) -> bool {
+        if self.succeeded_at_us.is_some_and(|succeeded_at_us| crash.ended_at_us <= succeeded_at_us) {
             return false;
         }
         if let Some(known) = self.crashes.iter_mut().find(|known| known.id == crash.id) {
-            // Each way between nodes makes it seem later than it was.
+            // Network latency makes a reported crash appear later than it was, so the earliest time is the best one.
             if crash.ended_at_us < known.ended_at_us {
                 *known = crash;
-                self.leave_one_after_another();
+                self.retain_sequential();
             }
             return false;
         }
         self.crashes.push(crash);
-        self.leave_one_after_another();
+        self.retain_sequential();
         self.crashes.iter().any(|known| known.id == crash.id)
     }
 
-    /// Takes note that it ran well; true if that clears it of any crash.
-    pub fn survive(&mut self, at_us: i64) -> bool {
-        self.survived_at_us = self.survived_at_us.max(Some(at_us));
+    /// Records a successful run and returns true if that removes any crash.
+    pub fn record_success(&mut self, at_us: i64) -> bool {
+        self.succeeded_at_us = self.succeeded_at_us.max(Some(at_us));
         let before = self.crashes.len();
         self.crashes.retain(|crash| crash.ended_at_us > at_us);
         self.crashes.len() < before
     }
 
-    fn leave_one_after_another(&mut self) {
+    /// Sorts the crashes, removes those that overlap an earlier one, and limits their number.
+    fn retain_sequential(&mut self) {
         self.crashes.sort_unstable_by_key(|crash| (crash.ended_at_us, crash.id));
         let mut before: Option<Crash> = None;
         self.crashes.retain(|crash| {
@@ -120,9 +124,9 @@
             }
             follows
         });
-        if self.crashes.len() > CRASHES_KEPT {
-            // The newest one says how long the quarantine lasts.
-            self.crashes.remove(CRASHES_KEPT - 1);
+        if self.crashes.len() > CRASHES_MAX {
+            // The newest crash is kept because it determines when the quarantine ends.
+            self.crashes.remove(CRASHES_MAX - 1);
         }
     }
 }
--- a/crates/pointvane-dispatch/src/quarantine/news_budget.rs
+++ b/crates/pointvane-dispatch/src/quarantine/news_budget.rs
@@ -1,30 +1,31 @@
-//! How many nodes a broadcast of news may go to at once: bounds what many crashes at the same moment cost a node's link.
+//! Rate limit for broadcasts of quarantine evidence. Bounds the bandwidth that many simultaneous crashes use on a node.
 
 use pointvane_core::TokenBucket;
 
-/// Bytes a second that broadcasts may take, IP and UDP heads included. Worked out: with the rounds of news, at the most 3 KB/s, a part of the
-/// 18 KB/s that a node may spend for control.
+/// Broadcast rate in bytes per second, including IP and UDP headers. Together with gossip rounds, which use at most
+/// 3 KB/s, this is part of the 18 KB/s that a node may use for control traffic.
 const BROADCAST_BYTES_PER_S: f64 = 6_000.0;
-/// Bytes that are saved up: one crash to all of 121 nodes at once. Not measured at other values.
-const BROADCAST_BYTES_MAX: f64 = 12_000.0;
+/// Burst size in bytes: enough to send one crash to all of 121 nodes at once.
+const BROADCAST_BURST_BYTES: f64 = 12_000.0;
 
-/// The bytes that a node may still spend on broadcasts.
+/// Token bucket for the bytes that a node may send in broadcasts.
 #[derive(Clone, Debug)]
 pub struct NewsBudget {
     bytes: TokenBucket,
 }
 
 impl NewsBudget {
-    /// A full budget.
+    /// Creates a full budget. `now_us` is in microseconds of the monotonic clock.
     pub fn new(now_us: u64) -> Self {
-        Self { bytes: TokenBucket::timed(BROADCAST_BYTES_PER_S, BROADCAST_BYTES_MAX, now_us) }
+        Self { bytes: TokenBucket::timed(BROADCAST_BYTES_PER_S, BROADCAST_BURST_BYTES, now_us) }
     }
 
-    /// How many of `wanted` nodes a datagram of `bytes` may go to now; the others learn it by the rounds.
+    /// Takes the cost of sending a datagram of `bytes` to up to `wanted` nodes and returns to how many nodes it may be
+    /// sent now. The others receive its contents through gossip rounds.
     pub fn take(&mut self, bytes: usize, wanted: usize, now_us: u64) -> usize {
         let affordable = (self.bytes.level(now_us) / bytes.max(1) as f64) as usize;
         let peers = affordable.min(wanted);
-        // As many as fit are there.
+        // Cannot fail: `peers` was computed from the current level.
         self.bytes.take((peers * bytes) as f64, now_us);
         peers
     }
--- a/crates/pointvane-dispatch/src/quarantine/spread.rs
+++ b/crates/pointvane-dispatch/src/quarantine/spread.rs
@@ -1,4 +1,5 @@
-//! Which news of requests under which upstreams crash go to other nodes, and when: at once, in rounds, in pages, or when they are pulled.
+//! Selects the quarantine evidence that is sent to other nodes: by broadcast, in gossip rounds, in pages, or in answer
+//! to a pull.
 
 use {
     super::{NEWS_MAX, Quarantine, Suspect, SuspectNews},
@@ -6,62 +7,67 @@
     std::cmp::Reverse,
 };
 
-/// Datagrams with which a pull is answered at most. Not measured.
-const PULL_PAGES: usize = 4;
+/// Maximum number of datagrams in the answer to a pull.
+const PULL_PAGES_MAX: usize = 4;
 
 impl Quarantine {
-    /// What has to go to as many nodes as can be reached at once: what this node itself has just seen.
+    /// Returns evidence that this node has just observed itself and that is to be broadcast immediately, up to one
+    /// datagram per call.
     pub fn take_urgent(&mut self, now_us: u64) -> Vec<SuspectNews> {
-        let chosen = self.newest_first(|suspect| suspect.urgent);
-        self.tell(&chosen, now_us, |suspect| suspect.urgent = false)
+        let selected = self.newest_first(|suspect| suspect.broadcast_pending);
+        self.build_messages(&selected, now_us, |suspect| suspect.broadcast_pending = false)
     }
 
-    /// What goes to a few nodes in this round; empty if nothing is new.
+    /// Returns the evidence to send to a few nodes in this gossip round; empty if nothing is new.
     pub fn take_round(&mut self, now_us: u64) -> Vec<SuspectNews> {
-        let chosen = self.newest_first(|suspect| suspect.rounds_left > 0);
-        self.tell(&chosen, now_us, |suspect| suspect.rounds_left -= 1)
+        let selected = self.newest_first(|suspect| suspect.rounds_left > 0);
+        self.build_messages(&selected, now_us, |suspect| suspect.rounds_left -= 1)
     }
 
-    /// The next part of all that is known, for a node that may have missed it: those in quarantine and all by turns.
+    /// Returns the next page of the evidence, for nodes that missed earlier messages. Pages alternate between
+    /// quarantined requests and all requests.
     pub fn next_page(&mut self, now_us: u64) -> Vec<SuspectNews> {
-        let only_held = self.pages.is_multiple_of(2);
-        let told: Vec<RequestFingerprint> = self
+        let only_quarantined = self.pages_sent.is_multiple_of(2);
+        let listed: Vec<RequestFingerprint> = self
             .suspects
             .iter()
-            .filter(|(_, suspect)| !only_held || suspect.reported > 0)
+            .filter(|(_, suspect)| !only_quarantined || suspect.reported_crashes > 0)
             .map(|(request, _)| *request)
             .collect();
-        let page = self.pages / 2 % told.len().div_ceil(NEWS_MAX).max(1);
-        self.pages += 1;
-        let chosen: Vec<_> = told.into_iter().skip(page * NEWS_MAX).take(NEWS_MAX).collect();
-        self.tell(&chosen, now_us, |_| {})
+        let page = self.pages_sent / 2 % listed.len().div_ceil(NEWS_MAX).max(1);
+        self.pages_sent += 1;
+        let selected: Vec<_> = listed.into_iter().skip(page * NEWS_MAX).take(NEWS_MAX).collect();
+        self.build_messages(&selected, now_us, |_| {})
     }
 
-    /// What is answered to a pull: those with the most crashes.
+    /// Returns the answer to a pull, one element per datagram: the requests with the most crashes.
     pub fn pages_for_pull(&mut self, now_us: u64) -> Vec<Vec<SuspectNews>> {
         let mut all: Vec<_> = self.suspects.iter().collect();
         all.sort_by_key(|(_, suspect)| Reverse(suspect.history.crashes().len()));
-        let chosen: Vec<_> =
-            all.into_iter().map(|(request, _)| *request).take(PULL_PAGES * NEWS_MAX).collect();
-        chosen.chunks(NEWS_MAX).map(|page| self.tell(page, now_us, |_| {})).collect()
+        let selected: Vec<_> =
+            all.into_iter().map(|(request, _)| *request).take(PULL_PAGES_MAX * NEWS_MAX).collect();
+        selected.chunks(NEWS_MAX).map(|page| self.build_messages(page, now_us, |_| {})).collect()
     }
 
-    /// Some suspects for one datagram: those in quarantine first, the newest of them first.
-    fn newest_first(&self, wanted: impl Fn(&Suspect) -> bool) -> Vec<RequestFingerprint> {
-        let mut chosen: Vec<_> = self.suspects.iter().filter(|(_, suspect)| wanted(suspect)).collect();
-        chosen.sort_by_key(|(_, suspect)| Reverse((suspect.reported > 0, suspect.history.latest_at_us())));
-        chosen.into_iter().map(|(request, _)| *request).take(NEWS_MAX).collect()
+    /// Selects suspects for one datagram: quarantined ones first, then by newest evidence.
+    fn newest_first(&self, filter: impl Fn(&Suspect) -> bool) -> Vec<RequestFingerprint> {
+        let mut selected: Vec<_> = self.suspects.iter().filter(|(_, suspect)| filter(suspect)).collect();
+        selected.sort_by_key(|(_, suspect)| {
+            Reverse((suspect.reported_crashes > 0, suspect.history.last_evidence_at_us()))
+        });
+        selected.into_iter().map(|(request, _)| *request).take(NEWS_MAX).collect()
     }
 
-    fn tell(
+    /// Builds the messages for some requests and applies `on_sent` to the state of each.
+    fn build_messages(
         &mut self,
         requests: &[RequestFingerprint],
         now_us: u64,
-        told: impl Fn(&mut Suspect),
+        on_sent: impl Fn(&mut Suspect),
     ) -> Vec<SuspectNews> {
         let news = requests.iter().filter_map(|request| {
             let suspect = self.suspects.get_mut(request)?;
-            told(suspect);
+            on_sent(suspect);
             Some(SuspectNews::new(*request, &suspect.history, now_us as i64))
         });
         news.collect()
