--- a/crates/pointvane-dispatch/src/access.rs
+++ b/crates/pointvane-dispatch/src/access.rs
@@ -1,17 +1,19 @@
-//! Access: which client account a request counts for, and whether it is served at all.
+//! Access control: attributes a request to a client account and decides whether it is served.
 //!
-//! Decided when a request arrives, and again right before each send if another configuration has come in force meanwhile. Inputs: the
-//! accounts of the configuration, whether the route is public, the digest of the key that the caller presents, and, where a deployment
-//! wants that, the time since the last news of the platform. Where there are no accounts everybody is served. A public route
-//! serves everybody too; a key that is known counts there as anywhere. Invariant: no request runs for an account that does not hold its
-//! key in the configuration in force. Tests: `tests/access.rs`.
+//! Checked when a request arrives, and again immediately before each send if the configuration has changed in the
+//! meantime. Inputs: the accounts in the configuration, whether the route is public, the digest of the caller's API key,
+//! and, if the deployment requires it, the time since the platform last confirmed the accounts.
+//!
+//! Without configured accounts, every request is served. A public route also serves every request, but attributes those
+//! with a known key to its account. Invariant: no request runs for an account that does not hold its key in the current
+//! configuration. Tests: `tests/access.rs`.
 
 use {
     pointvane_core::{AccountRule, ErrorKind, KeyDigest, Name, RouteRule},
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// The accounts of a configuration, by their keys.
+/// Client accounts of a configuration, indexed by name and API key.
 #[derive(Clone, Debug, Default)]
 pub struct AccountTable {
     by_name: HashMap<Name, Arc<AccountRule>>,
@@ -19,7 +21,7 @@
 }
 
 impl AccountTable {
-    /// A table of some accounts.
+    /// Builds a table of accounts.
     pub fn new(accounts: Vec<Arc<AccountRule>>) -> Self {
         let mut by_key_prefix: HashMap<u64, Vec<Arc<AccountRule>>> = HashMap::new();
         for account in &accounts {
@@ -31,27 +33,28 @@
         Self { by_name, by_key_prefix }
     }
 
-    /// The account that holds a key.
+    /// Returns the account that holds a key.
     pub fn find(&self, key: &KeyDigest) -> Option<&Arc<AccountRule>> {
         let candidates = self.by_key_prefix.get(&key.prefix())?;
-        candidates.iter().find(|account| account.keys.iter().any(|held| held.matches(key)))
+        candidates.iter().find(|account| account.keys.iter().any(|account_key| account_key.matches(key)))
     }
 
-    /// All accounts, in no order.
+    /// Returns all accounts in arbitrary order.
     pub fn accounts(&self) -> impl Iterator<Item = &Arc<AccountRule>> {
         self.by_name.values()
     }
 
-    /// The account of a name.
+    /// Returns the account with a name.
     pub fn get(&self, name: &Name) -> Option<&Arc<AccountRule>> {
         self.by_name.get(name)
     }
 }
 
-/// The account that a request counts for, if any.
+/// Returns the account to which a request is attributed, if any.
 ///
 /// # Errors
-/// [`ErrorKind::Unauthorized`] if the route needs a key and the one presented is not known.
+///
+/// [`ErrorKind::Unauthorized`] if accounts are configured, the route is not public, and the key is missing or unknown.
 pub fn account_of(
     accounts: Option<&AccountTable>,
     route: &RouteRule,
@@ -65,19 +68,22 @@
     }
 }
 
-/// Refuses a request of an account whose key may have been taken away: `confirmed_ago` is the time since the last news of the platform,
-/// `unconfirmed_after` the longest that the deployment allows, if it bounds it.
+/// Checks that an account was confirmed recently enough, because its key may have been revoked since.
+///
+/// `confirmation_age` is the time since the platform last confirmed the accounts, `None` if it has not yet done so.
+/// `max_confirmation_age` is the maximum that the deployment allows; `None` disables the check.
 ///
 /// # Errors
-/// [`ErrorKind::AccountsUnconfirmed`].
+///
+/// [`ErrorKind::AccountsUnconfirmed`] if the maximum is exceeded or the accounts were never confirmed.
 pub fn confirm(
     account: Option<&AccountRule>,
-    confirmed_ago: Option<Duration>,
-    unconfirmed_after: Option<Duration>,
+    confirmation_age: Option<Duration>,
+    max_confirmation_age: Option<Duration>,
 ) -> Result<(), ErrorKind> {
-    let Some(longest) = unconfirmed_after.filter(|_| account.is_some()) else { return Ok(()) };
-    match confirmed_ago {
-        Some(ago) if ago <= longest => Ok(()),
+    let Some(max_age) = max_confirmation_age.filter(|_| account.is_some()) else { return Ok(()) };
+    match confirmation_age {
+        Some(age) if age <= max_age => Ok(()),
         _ => Err(ErrorKind::AccountsUnconfirmed),
     }
 }
--- a/crates/pointvane-dispatch/src/allowed_regions.rs
+++ b/crates/pointvane-dispatch/src/allowed_regions.rs
@@ -1,21 +1,22 @@
-//! The regions whose upstreams may serve a request, by its route and by its client account. Asked in `eligibility.rs`.
+//! Regions whose upstreams may serve a request, according to its route and its client account. Checked in
+//! `eligibility.rs`.
 
 use {crate::routes::RoutedRequest, pointvane_core::Name};
 
-/// The regions whose upstreams may serve a request; a list that is empty bounds nothing.
+/// Regions whose upstreams may serve a request. An empty list allows all regions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AllowedRegions {
-    /// Those of its route.
+    /// Regions allowed by the route.
     pub of_route: Vec<Name>,
-    /// Those of its client account.
+    /// Regions allowed by the client account.
     pub of_account: Vec<Name>,
 }
 
 impl AllowedRegions {
-    /// All regions.
+    /// Allows all regions.
     pub const ANY: Self = Self { of_route: Vec::new(), of_account: Vec::new() };
 
-    /// Those of a request.
+    /// Returns the regions allowed for a routed request.
     pub fn of(routed: &RoutedRequest) -> Self {
         let account = routed.account.as_ref();
         Self {
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Whether upstreams of a region may serve it; where it is not known which region that is, only if all may.
+    /// Returns true if both lists allow a region. An unknown region is allowed only if all regions are.
     pub fn allow(&self, region: Option<&Name>) -> bool {
         let allows = |list: &[Name]| list.is_empty() || region.is_some_and(|region| list.contains(region));
         allows(&self.of_route) && allows(&self.of_account)
--- a/crates/pointvane-dispatch/src/fingerprint.rs
+++ b/crates/pointvane-dispatch/src/fingerprint.rs
@@ -1,11 +1,14 @@
-//! Which requests count as the same one when they come again: the single place that says so.
+//! Request fingerprints: the single definition of which requests are repetitions of the same one.
+//!
+//! A crash is caused by what the upstream receives. A fingerprint therefore covers the method, host, path, credentials,
+//! and the length and first [`FINGERPRINT_BODY_BYTES`] of the body. Each request has two fingerprints, one with its query
+//! and one for any query, because callers vary the query for the same work (page numbers, cache-busting timestamps).
+//!
+//! The caller's address is excluded: upstreams do not receive it, and it differs between the VMs of one client account.
+//! Copies of one request that crashed 50 upstream processes arrived simultaneously at nodes in data centres to which the
+//! directory sends different callers. The attempt's identity, the deadline and all other headers are excluded because
+//! they differ on every attempt. A request with another path or body has another fingerprint.
 //!
-//! What makes an upstream crash is what the upstream gets. So counted are the method, the host, the path, the credentials, and the body: its
-//! length and its first [`FINGERPRINT_BODY_BYTES`]; once with the query and once with any, since callers vary it for work that is the same (a page,
-//! a time that keeps caches away). Not counted are the address of the caller, which upstreams do not get, and which differs for the VMs of
-//! one client account: of one request that ended 50 upstreams, copies came at the same time to nodes of data centres to which the directory sends
-//! different callers. Nor are the identity of the caller's attempt, its deadline and all other headers, which differ each time. Whoever varies the
-//! path or the body sends another request by this rule.
 //! Tests: `tests/fingerprint.rs`; cost: `benches/quarantine.rs`.
 
 use {
@@ -14,82 +17,83 @@
     std::fmt,
 };
 
-/// Bytes of a body that count: bounds the cost for long and streamed bodies, of which no more than a first part is at hand.
+/// Number of leading body bytes covered by a fingerprint. Bounds the cost for long bodies and for streamed ones, of
+/// which only a prefix is available.
 ///
-/// 12 us of processor time at this length (`benches/quarantine.rs`), for each body that is streamed and for others after a crash only. Requests
-/// that differ only behind this point and are equally long look alike.
+/// Hashing this many bytes takes 12 us of CPU time (`benches/quarantine.rs`). It is done for every streamed body, for
+/// others only after a crash. Requests of equal length that differ only after this prefix have the same fingerprint.
 pub const FINGERPRINT_BODY_BYTES: usize = 16 << 10;
 
-/// All of a request that counts but its query and body; cheap, so that most requests are told without these from those that are looked for.
+/// Fingerprint of a request without its query and body. Cheap to compute and enough to rule out most requests.
 ///
-/// Worked out, not measured: of 10^9 different requests beside 512 that are looked for, one is taken for another once in 3 * 10^7 times.
+/// With 512 tracked requests, the probability that any of 10^9 other requests collides with one is 1 in 3 * 10^7.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HeadFingerprint(u64);
 
-/// Identity of what is asked for, the same at each node and each time that it is asked again.
+/// Fingerprint of a request, equal on all nodes and for every repetition of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint {
     head: HeadFingerprint,
-    rest: u64,
+    query_and_body: u64,
 }
 
-/// What counts of a body.
+/// Fingerprint of a request body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyFingerprint(u64);
 
-/// Whether a query counts.
+/// Which queries a fingerprint covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryScope<'r> {
-    /// This query, or none, counts.
+    /// Only this query, or only requests without a query.
     Exact(Option<&'r str>),
-    /// Requests with any query and with none are the same.
+    /// Any query, including none.
     Any,
 }
 
 impl HeadFingerprint {
-    /// The fingerprint of a request without its query and body; credentials as they stand in the `Authorization` header, if there are any.
+    /// Computes the fingerprint. `credentials` is the raw value of the `Authorization` header, if present.
     pub fn new(method: &str, host: &str, path: &str, credentials: Option<&[u8]>) -> Self {
         let mut hash = Sha256::new();
-        for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), credentials.unwrap_or_default()] {
-            // Lengths keep the parts apart: `/a` + `b` is not `/` + `ab`.
-            hash.update((part.len() as u64).to_be_bytes());
-            hash.update(part);
+        for field in [method.as_bytes(), host.as_bytes(), path.as_bytes(), credentials.unwrap_or_default()] {
+            // Length prefixes keep the fields distinct: `/a` + `b` is not `/` + `ab`.
+            hash.update((field.len() as u64).to_be_bytes());
+            hash.update(field);
         }
-        Self(leading(hash))
+        Self(first_u64(hash))
     }
 
-    /// The fingerprint with the query and the body.
+    /// Combines this fingerprint with those of the query and the body.
     pub fn with_rest(self, query: QueryScope<'_>, body: BodyFingerprint) -> RequestFingerprint {
-        /// What stands for a query that is not there, and for any query; no query is as long.
-        const NO_QUERY: u64 = u64::MAX;
-        const ANY_QUERY: u64 = u64::MAX - 1;
+        /// Hashed in place of the length of a query; no query is this long.
+        const NO_QUERY_TAG: u64 = u64::MAX;
+        const ANY_QUERY_TAG: u64 = u64::MAX - 1;
         let mut hash = Sha256::new();
         match query {
             QueryScope::Exact(Some(query)) => {
                 hash.update((query.len() as u64).to_be_bytes());
                 hash.update(query);
             }
-            QueryScope::Exact(None) => hash.update(NO_QUERY.to_be_bytes()),
-            QueryScope::Any => hash.update(ANY_QUERY.to_be_bytes()),
+            QueryScope::Exact(None) => hash.update(NO_QUERY_TAG.to_be_bytes()),
+            QueryScope::Any => hash.update(ANY_QUERY_TAG.to_be_bytes()),
         }
         hash.update(body.0.to_be_bytes());
-        RequestFingerprint { head: self, rest: leading(hash) }
+        RequestFingerprint { head: self, query_and_body: first_u64(hash) }
     }
 }
 
 impl BodyFingerprint {
-    /// The fingerprint of a body, or of the first part of it, with the whole body's length in bytes; none if its sender did not announce it
-    /// and it has not come whole.
+    /// Computes the fingerprint of a body or of its prefix. `length` is the length of the whole body in bytes; `None` if
+    /// the sender did not announce it and the body has not arrived completely.
     pub fn new(body: &[u8], length: Option<u64>) -> Self {
         let mut hash = Sha256::new();
         hash.update(length.unwrap_or(u64::MAX).to_be_bytes());
         hash.update(&body[..body.len().min(FINGERPRINT_BODY_BYTES)]);
-        Self(leading(hash))
+        Self(first_u64(hash))
     }
 }
 
 impl RequestFingerprint {
-    /// The same without query and body.
+    /// Returns the fingerprint without query and body.
     pub fn head(self) -> HeadFingerprint {
         self.head
     }
@@ -101,14 +105,14 @@
     }
 }
 
-/// The head, then the rest: lines on requests that differ in query or body alone begin alike.
+/// Writes the head first, so that log lines about requests that differ only in query or body share a prefix.
 impl fmt::Display for RequestFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}-{:016x}", self.head, self.rest)
+        write!(f, "{}-{:016x}", self.head, self.query_and_body)
     }
 }
 
-/// The first eight bytes of a hash.
-fn leading(hash: Sha256) -> u64 {
+/// Returns the first eight bytes of a hash as a big-endian integer.
+fn first_u64(hash: Sha256) -> u64 {
     hash.finalize().iter().take(8).fold(0, |number, byte| (number << 8) | u64::from(*byte))
 }
--- a/crates/pointvane-dispatch/src/limits.rs
+++ b/crates/pointvane-dispatch/src/limits.rs
@@ -1,9 +1,12 @@
-//! Limits: how many requests a second upstreams take from all nodes together, and what nodes announce to each other of that.
+//! Request limits advertised by upstreams, which apply to all nodes together, and their announcement between nodes.
 //!
-//! Which part of a limit this node may send, and until when, is decided by [`pointvane_core::RequestLimit`]; whether an upstream may get work at all, in
-//! `eligibility.rs`. Inputs: what answers say, messages of other nodes, this node's place among those that reach the upstream, the steady clock. A message is about one
-//! life of an upstream; one on an upstream that is not known, or on another life, is ignored. An upstream that takes any number again is returned to as after a pause.
-//! Tests: `tests/limits.rs`, in fleets `tests/limits_fleet.rs`.
+//! [`pointvane_core::RequestLimit`] decides which share of a limit this node may use and for how long; `eligibility.rs`
+//! decides whether an upstream may receive work at all. Inputs: response headers, messages from other nodes, this node's
+//! place among the nodes that use the upstream, and the monotonic clock. A message refers to one incarnation of an
+//! upstream and is ignored if the upstream is unknown or has another incarnation. After a limit is lifted, this node
+//! returns to the upstream in the same way as after a back-off.
+//!
+//! Tests: `tests/limits.rs`, fleet simulations: `tests/limits_fleet.rs`.
 
 use {
     crate::{
@@ -18,35 +21,36 @@
     std::net::SocketAddr,
 };
 
-/// Upstreams in one datagram at most: with identities of up to 64 bytes they fit.
+/// Maximum number of upstreams in one datagram; they fit if their identities have at most 64 bytes.
 pub const LIMITS_MAX: usize = 14;
 
-/// A datagram between nodes: the limits that some upstreams advertise.
+/// A datagram between nodes with the limits that some upstreams advertise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitMessage {
-    /// The node that announces them.
+    /// Address of the announcing node.
     pub origin: SocketAddr,
-    /// The range of nodes that the receiver forwards it to.
+    /// Range of nodes to which the receiver forwards the message.
     pub segment: Segment,
-    /// The upstreams.
+    /// The announced limits, at most [`LIMITS_MAX`].
     pub limits: Vec<LimitAnnouncement>,
 }
 
 /// The limit that one upstream advertises.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitAnnouncement {
-    /// The upstream.
+    /// Identity of the upstream.
     pub upstream: Name,
-    /// When its life began, in milliseconds since 1970; none if its entry does not say so.
+    /// Start time of this incarnation, in milliseconds since the Unix epoch; `None` if its directory entry has none.
     pub born_ms: Option<u64>,
-    /// Requests that it takes in a thousand seconds; none if it advertises no limit any more.
+    /// Limit in requests per 1,000 seconds; `None` if the upstream no longer advertises one.
     pub per_1000_s: Option<u32>,
-    /// How long ago it did so, in milliseconds.
+    /// Time since the upstream advertised this, in milliseconds.
     pub age_ms: u32,
 }
 
 impl Pool {
-    /// Records what an answer says of its upstream's limit. `sent_at_us` is when its request was sent, none for a probe.
+    /// Records the limit that an upstream advertised, or did not advertise, in a response. `sent_at_us` is the time at
+    /// which the request was sent, `None` for a probe.
     pub fn record_limit(
         &mut self,
         key: UpstreamKey,
@@ -56,11 +60,12 @@
     ) -> Option<LimitChange> {
         let state = self.upstreams.get_mut(&key)?;
         let change = state.notices.limit.record_answer(notice, sent_at_us, now_us);
-        self.follow_limit(key, change, now_us);
+        self.apply_limit_change(key, change, now_us);
         change
     }
 
-    /// Receives what another node announces of an upstream's limit.
+    /// Applies another node's announcement of an upstream's limit. Returns `None` if it changes nothing, the upstream is
+    /// unknown, or the announcement refers to another incarnation.
     pub fn receive_limit(
         &mut self,
         announced: &LimitAnnouncement,
@@ -71,46 +76,47 @@
         let reported_at_us = now_us.saturating_sub(u64::from(announced.age_ms) * US_PER_MS);
         let report = LimitReport { per_1000_s: announced.per_1000_s, reported_at_us };
         let change = state.notices.limit.receive(report, now_us);
-        self.follow_limit(key, change, now_us);
+        self.apply_limit_change(key, change, now_us);
         Some((key, change?))
     }
 
-    /// Forgets limits that were not confirmed for long.
+    /// Removes limits that have not been confirmed recently and returns the resulting changes.
     pub fn expire_limits(&mut self, now_us: u64) -> Vec<(UpstreamKey, LimitChange)> {
         let mut expired = Vec::new();
         for key in self.limited() {
             let state = self.upstreams.get_mut(&key);
             let change = state.and_then(|state| state.notices.limit.expire(now_us));
-            self.follow_limit(key, change, now_us);
+            self.apply_limit_change(key, change, now_us);
             expired.extend(change.map(|change| (key, change)));
         }
         expired
     }
 
-    /// Keeps the list of limits, and has this node return to an upstream that advertises none any more.
-    fn follow_limit(&mut self, key: UpstreamKey, change: Option<LimitChange>, now_us: u64) {
+    /// Updates the set of limited upstreams and schedules this node's return to an upstream whose limit was lifted.
+    fn apply_limit_change(&mut self, key: UpstreamKey, change: Option<LimitChange>, now_us: u64) {
         match change {
             Some(LimitChange::Set(_)) => _ = self.limited.insert(key),
-            Some(LimitChange::Lifted) => self.return_after_limit(key, now_us),
+            Some(LimitChange::Lifted) => self.schedule_return(key, now_us),
             None => {}
         }
     }
 
-    fn return_after_limit(&mut self, key: UpstreamKey, now_us: u64) {
+    /// Schedules this node's return after a random delay, so that the nodes do not return all at once.
+    fn schedule_return(&mut self, key: UpstreamKey, now_us: u64) {
         let Some(record) = self.upstreams.get(&key).map(|state| &state.record) else { return };
         let (nodes, slots) = (self.nodes_using(&record.service), record.slots);
-        let later_us = self.rng.random_range(0..=return_spread_us(nodes, slots, US_PER_S));
+        let jitter_us = self.rng.random_range(0..=return_spread_us(nodes, slots, US_PER_S));
         if let Some(state) = self.upstreams.get_mut(&key) {
-            state.notices.backoff.returns(later_us, now_us);
+            state.notices.backoff.returns(jitter_us, now_us);
         }
     }
 
-    /// The upstreams that advertise a limit, or of whose limit something is still to be announced.
+    /// Returns the upstreams that advertise a limit or have an announcement pending.
     pub fn limited(&self) -> Vec<UpstreamKey> {
         self.limited.iter().copied().collect()
     }
 
-    /// Sets this node's place among those that may use an upstream; none if it may not.
+    /// Sets this node's place among those that may use an upstream; `None` if it may not use it.
     pub fn set_limit_place(&mut self, key: UpstreamKey, place: Option<LimitPlace>, now_us: u64) {
         let phase = self.rng.random();
         if let Some(state) = self.upstreams.get_mut(&key) {
@@ -118,7 +124,7 @@
         }
     }
 
-    /// What is to be announced to the other nodes now; upstreams without a limit, of which all was announced, are no longer followed.
+    /// Returns the announcements due now. Stops tracking upstreams that have neither a limit nor a pending announcement.
     pub fn take_limit_announcements(&mut self, now_us: u64) -> Vec<LimitAnnouncement> {
         let count = self.limited.len();
         let mut announcements = Vec::new();
@@ -138,7 +144,8 @@
         announcements
     }
 
-    /// An upstream of the service to which the next request is to go, to learn whether its limit still holds.
+    /// Returns an upstream of the service to which the next request should be sent to learn whether its limit still
+    /// applies.
     pub fn limit_to_refresh(&self, service: &Name, wanted: &Wanted<'_>, now_us: u64) -> Option<UpstreamKey> {
         self.limited.iter().copied().find(|key| {
             let is_due = |state: &UpstreamState| {
@@ -150,7 +157,7 @@
         })
     }
 
-    /// Whether an upstream advertises a limit.
+    /// Returns true if an upstream advertises a limit.
     pub fn is_limited(&self, key: UpstreamKey) -> bool {
         self.limited.contains(&key)
             && self.upstreams.get(&key).is_some_and(|state| state.limit().per_1000_s().is_some())
--- a/crates/pointvane-dispatch/src/notices.rs
+++ b/crates/pointvane-dispatch/src/notices.rs
@@ -1,14 +1,21 @@
-//! Notices: what an upstream says of itself in its answers besides its load, that it wants no requests for a time and that it leaves.
+//! Notices in response headers: an upstream asks for a back-off or announces that it is leaving.
 //!
-//! Taken as soon as the head of an answer to a request or a probe is read. Inputs: the notice; the life of the upstream that the request was sent to;
-//! the steady clock; how many nodes there are, and upstreams in the service. Both notices bind, also where the service has no other upstream
-//! (`eligibility.rs`), and both are told to this node: a pause is asked of one node, and that an upstream leaves each node hears from it or from
-//! the platform, which needs no third way (docs/design/backing-off.md). No notice ends another one: a shorter pause takes nothing back of a longer one,
-//! and an entry that says "ready" does not take back that its upstream leaves. A later life of the upstream knows nothing of them, but that it is sent
-//! one request alone at first if the earlier one wanted none: it may have asked itself, before its entry was known. The same life knows of them when its entry
-//! goes and returns, if the entry names the life's start. What was told of a life that is no longer known changes nothing.
+//! A notice takes effect as soon as the response head of a request or probe has been read. Inputs: the notice, the
+//! incarnation of the upstream to which the request was sent, the monotonic clock, the number of nodes, and the number
+//! of upstreams in the service.
 //!
-//! Tests: `tests/notices.rs`, in fleets `tests/notices_fleet.rs`.
+//! - Both notices are binding, even if the service has no other upstream (`eligibility.rs`).
+//! - Both apply to this node only and are not forwarded. A back-off is requested of one node, and each node learns of a
+//!   departure from the upstream itself or from the platform (docs/design/backing-off.md).
+//! - No notice cancels another: a shorter back-off does not shorten a longer one, and a directory entry that says "ready"
+//!   does not revoke a departure.
+//! - Notices survive the removal and return of the directory entry of the same incarnation, provided the entry states
+//!   when the incarnation started.
+//! - A new incarnation does not inherit them, with one exception: if the previous one was backing off, the new one is
+//!   sent a single trial request at first, because it may itself have sent the notice before its entry was known.
+//! - Notices from an incarnation that is no longer known are ignored.
+//!
+//! Tests: `tests/notices.rs`, fleet simulations: `tests/notices_fleet.rs`.
 
 use {
     crate::{
@@ -22,48 +29,51 @@
     std::mem,
 };
 
-/// The upstreams of a service none of which may get work.
+/// Summary of a service none of whose upstreams may receive work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WithheldService {
-    /// All upstreams of the service that are known.
+    /// Number of known upstreams of the service.
     pub upstreams: usize,
-    /// Those of them that asked for no requests for a time.
+    /// Number of upstreams that asked for a back-off.
     pub backing_off: usize,
-    /// Those of them that get as many requests as their limits allow.
+    /// Number of upstreams that have reached their request limit.
     pub limited: usize,
-    /// Time until the first of these two may get work, in milliseconds, rounded up; none if there are none.
+    /// Time until the first upstream that is backing off or limited may receive work, in milliseconds, rounded up;
+    /// `None` if there is no such upstream.
     pub back_in_ms: Option<u64>,
 }
 
 impl Pool {
-    /// Takes the word of an upstream that it wants no requests for a time; the whole time for which it gets none, if that is longer than was known.
+    /// Records that an upstream asked for a back-off of `for_us`. Returns the whole time for which this node sends it
+    /// nothing, in microseconds, if that extends the current back-off.
     pub fn record_back_off(&mut self, key: UpstreamKey, for_us: u64, now_us: u64) -> Option<u64> {
         let record = &self.upstreams.get(&key)?.record;
         let (nodes, slots) = (self.nodes_using(&record.service), record.slots);
-        let later_us = self.rng.random_range(0..=return_spread_us(nodes, slots, for_us));
+        let jitter_us = self.rng.random_range(0..=return_spread_us(nodes, slots, for_us));
         let state = self.upstreams.get_mut(&key)?;
-        state.notices.backoff.asked(for_us, later_us, now_us).then_some(for_us + later_us)
+        state.notices.backoff.asked(for_us, jitter_us, now_us).then_some(for_us + jitter_us)
     }
 
-    /// How many nodes use an upstream of a service: of a large one each node uses a subset.
+    /// Returns how many nodes use each upstream of a service. In a large service, each node uses only a subset.
     pub(crate) fn nodes_using(&self, service: &Name) -> usize {
         let (nodes, upstreams) =
             (self.warm_up.nodes(), self.by_service.get(service).map_or(0, ServiceUpstreams::len));
         nodes.min((nodes * SUBSET_MAX).div_ceil(upstreams.max(1)))
     }
 
-    /// Takes the word of an upstream that it is leaving; true if that was not known.
+    /// Records that an upstream is leaving; returns true if that was not known.
     pub fn record_leaving(&mut self, key: UpstreamKey) -> bool {
         let state = self.upstreams.get_mut(&key);
         state.is_some_and(|state| !mem::replace(&mut state.notices.is_leaving, true))
     }
 
-    /// Takes the end of a request at an upstream; true if by that it takes requests again after a time for which it wanted none.
+    /// Records the end of a request on an upstream; returns true if that ends the trial phase after a back-off.
     pub fn record_return(&mut self, key: UpstreamKey, ran: bool, now_us: u64) -> bool {
         self.upstreams.get_mut(&key).is_some_and(|state| state.notices.backoff.send_ended(ran, now_us))
     }
 
-    /// What keeps work of a priority from a service; none if one of its upstreams may get some.
+    /// Returns why no upstream of a service may receive work of a priority; `None` if one may, or if the service is
+    /// unknown.
     pub fn withheld(&self, service: &Name, priority: u32, now_us: u64) -> Option<WithheldService> {
         let mut withheld = WithheldService { upstreams: 0, backing_off: 0, limited: 0, back_in_ms: None };
         for key in self.by_service.get(service)?.keys() {
@@ -75,9 +85,9 @@
                 Err(reason @ (Ineligible::BackingOff | Ineligible::Limited)) => {
                     withheld.backing_off += usize::from(reason == Ineligible::BackingOff);
                     withheld.limited += usize::from(reason == Ineligible::Limited);
-                    let left_us = state.back_in_us(priority, now_us);
-                    let left_ms = left_us.map(|left_us| left_us.div_ceil(US_PER_MS));
-                    withheld.back_in_ms = withheld.back_in_ms.into_iter().chain(left_ms).min();
+                    let remaining_us = state.back_in_us(priority, now_us);
+                    let remaining_ms = remaining_us.map(|remaining_us| remaining_us.div_ceil(US_PER_MS));
+                    withheld.back_in_ms = withheld.back_in_ms.into_iter().chain(remaining_ms).min();
                 }
                 Err(reason) if reason.is_binding() => {}
                 Ok(()) | Err(_) => return None,
