--- a/crates/pointvane-dispatch/benches/quarantine.rs
+++ b/crates/pointvane-dispatch/benches/quarantine.rs
@@ -1,7 +1,7 @@
-//! Cost of the quarantine for a request: `cargo bench -p pointvane-dispatch --bench quarantine`.
+//! Cost of the quarantine check per request: `cargo bench -p pointvane-dispatch --bench quarantine`.
 //!
-//! Measured (medians, beside other load): 2.7 ns for a request while nothing is known of any, 0.22 us while 512 others are known, 0.37 us for one
-//! that is refused; both fingerprints of one 0.40 us without a body, 1.3 us with 1,200 bytes, 12 us with 16 KB. Before there was a quarantine, nothing.
+//! Medians on a loaded machine: 2.7 ns while no request is tracked, 0.22 us while 512 others are tracked, 0.37 us for a
+//! refused request. Both fingerprints of a request: 0.40 us without a body, 1.3 us with 1,200 bytes, 12 us with 16 KB.
 
 use {
     criterion::{BenchmarkId, Criterion, criterion_group, criterion_main},
@@ -14,7 +14,7 @@
 
 const S: u64 = 1_000_000;
 const TURN: TrialTurn = TrialTurn { position: 0.5, nodes: 18 };
-/// Bodies: none, an order, an upload of which all that counts is there.
+/// Body sizes in bytes: none, a typical small request, and the longest prefix that a fingerprint covers.
 const BODY_BYTES: [usize; 3] = [0, 1_200, 16 << 10];
 
 fn head(target: &str) -> HeadFingerprint {
@@ -25,8 +25,8 @@
     head(target).with_rest(QueryScope::Any, BodyFingerprint::new(b"", Some(0)))
 }
 
-/// A node that knows of as many requests as it keeps, of which one is quarantined.
-fn full() -> Quarantine {
+/// A node with a full table, of which one request is quarantined.
+fn full_quarantine() -> Quarantine {
     let mut node = Quarantine::new(QuarantineOptions::default(), 1, 0);
     for number in 0..511 {
         node.crashed(request(&format!("/{number}")), number * S, number * S + S / 10);
@@ -36,17 +36,17 @@
     node
 }
 
-fn cost_of_a_request(criterion: &mut Criterion) {
+fn request_cost(criterion: &mut Criterion) {
     let none = Quarantine::new(QuarantineOptions::default(), 1, 0);
     criterion.bench_function("nothing is known of any request", |bencher| {
         bencher.iter(|| black_box(&none).may_know(|| head(black_box("/orders/1f5c2f"))));
     });
-    let full = full();
+    let full_quarantine = full_quarantine();
     criterion.bench_function("512 others are known", |bencher| {
-        bencher.iter(|| black_box(&full).may_know(|| head(black_box("/orders/1f5c2f"))));
+        bencher.iter(|| black_box(&full_quarantine).may_know(|| head(black_box("/orders/1f5c2f"))));
     });
     criterion.bench_function("refused", |bencher| {
-        bencher.iter(|| black_box(&full).refuses(&request(black_box("/guilty")), &TURN, 601 * S));
+        bencher.iter(|| black_box(&full_quarantine).refuses(&request(black_box("/guilty")), &TURN, 601 * S));
     });
     for bytes in BODY_BYTES {
         let body = vec![7; bytes];
@@ -65,5 +65,5 @@
     }
 }
 
-criterion_group!(benches, cost_of_a_request);
+criterion_group!(benches, request_cost);
 criterion_main!(benches);
--- a/crates/pointvane-dispatch/tests/quarantine.rs
+++ b/crates/pointvane-dispatch/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are quarantined, by one node's evidence and by that of others; all time is given.
+//! Quarantine decisions from a node's own evidence and from that of other nodes, with simulated time.
 
 use {
     googletest::prelude::*,
@@ -10,10 +10,10 @@
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
-/// A node that tries as soon as any may.
-const FIRST: TrialTurn = TrialTurn { position: 0.0, nodes: 18 };
-/// A node that tries last.
-const LAST: TrialTurn = TrialTurn { position: 0.999, nodes: 18 };
+/// Turn of the node that may run trials first.
+const FIRST_TURN: TrialTurn = TrialTurn { position: 0.0, nodes: 18 };
+/// Turn of the node that may run trials last.
+const LAST_TURN: TrialTurn = TrialTurn { position: 0.999, nodes: 18 };
 
 fn request(target: &str) -> RequestFingerprint {
     HeadFingerprint::new("GET", "app.example", target, None)
@@ -24,17 +24,17 @@
     Quarantine::new(QuarantineOptions::default(), reporter, 100)
 }
 
-/// Two crashes, one after the other, as a node sees them that tries a request again; they end at 1.1 and 1.2 s.
+/// Records two sequential crashes, as observed by a node that retries a request; they end at 1.1 and 1.2 s.
 fn crash_twice(node: &mut Quarantine, request: RequestFingerprint) {
     node.crashed(request, S, S + 100 * MS);
     node.crashed(request, S + 102 * MS, S + 200 * MS);
 }
 
 fn refused(node: &Quarantine, request: RequestFingerprint, now_us: u64) -> bool {
-    node.refuses(&request, &FIRST, now_us)
+    node.refuses(&request, &FIRST_TURN, now_us)
 }
 
-/// Sends a request, unless that is refused.
+/// Sends a request unless it is refused; returns true if it was sent.
 fn send(node: &mut Quarantine, request: RequestFingerprint, turn: &TrialTurn, now_us: u64) -> bool {
     let sent = !node.refuses(&request, turn, now_us);
     if sent {
@@ -43,46 +43,46 @@
     sent
 }
 
-/// All that a node has to tell at a time.
-fn tell(from: &mut Quarantine, to: &mut Quarantine, now_us: u64) -> Vec<QuarantineChange> {
+/// Delivers one broadcast of `from` to `to`.
+fn broadcast(from: &mut Quarantine, to: &mut Quarantine, now_us: u64) -> Vec<QuarantineChange> {
     let news = from.take_urgent(now_us);
     to.receive(&news, now_us)
 }
 
 #[gtest]
-fn without_a_crash_nothing_is_refused() {
+fn request_without_crashes_is_never_refused() {
     let mut node = node(1);
     let request = request("/a");
     expect_that!(node.survived(request, S), none());
-    expect_that!(send(&mut node, request, &LAST, S), eq(true));
+    expect_that!(send(&mut node, request, &LAST_TURN, S), eq(true));
     expect_that!(node.may_know(|| request.head()), eq(false));
 }
 
 #[gtest]
-fn two_crashes_one_after_the_other_quarantine_a_request_and_no_other() {
+fn two_sequential_crashes_quarantine_only_that_request() {
     let mut node = node(1);
-    let (guilty, other) = (request("/a"), request("/b"));
-    expect_that!(node.crashed(guilty, S, S + 100 * MS), none());
-    expect_that!(refused(&node, guilty, S + 150 * MS), eq(false));
-    let change = node.crashed(guilty, S + 102 * MS, S + 200 * MS);
-    expect_that!(change, some(eq(QuarantineChange::Began { request: guilty, crashes: 2, hold_ms: 2_000 })));
-    expect_that!(refused(&node, guilty, S + 200 * MS), eq(true));
+    let (crashing, other) = (request("/a"), request("/b"));
+    expect_that!(node.crashed(crashing, S, S + 100 * MS), none());
+    expect_that!(refused(&node, crashing, S + 150 * MS), eq(false));
+    let change = node.crashed(crashing, S + 102 * MS, S + 200 * MS);
+    expect_that!(change, some(eq(QuarantineChange::Began { request: crashing, crashes: 2, hold_ms: 2_000 })));
+    expect_that!(refused(&node, crashing, S + 200 * MS), eq(true));
     expect_that!(refused(&node, other, S + 200 * MS), eq(false));
 }
 
 #[gtest]
-fn runs_that_overlap_count_as_one_crash_since_upstreams_that_end_together_end_them_together() {
+fn crashes_of_overlapping_runs_count_once() {
     let mut node = node(1);
     let request = request("/popular");
     for run in 0..20 {
-        // Sent at any time before the upstreams lost power, found out at any time after.
+        // Sent at various times before the upstreams lost power, with the crash detected at various times after.
         node.crashed(request, S + run * 3 * MS, S + 100 * MS + run * 40 * MS);
     }
     expect_that!(refused(&node, request, 2 * S), eq(false));
 }
 
 #[gtest]
-fn a_good_run_clears_a_request_of_the_crashes_before_it() {
+fn successful_run_clears_earlier_crashes() {
     let mut node = node(1);
     let request = request("/a");
     node.crashed(request, S, S + 100 * MS);
@@ -94,23 +94,23 @@
 }
 
 #[gtest]
-fn the_word_of_one_other_node_refuses_nothing_that_of_two_does() {
-    let (mut erring, mut second, mut third) = (node(1), node(2), node(3));
+fn evidence_of_a_single_other_node_does_not_suffice() {
+    let (mut first, mut second, mut third) = (node(1), node(2), node(3));
     let request = request("/a");
-    crash_twice(&mut erring, request);
-    expect_that!(refused(&erring, request, 2 * S), eq(true));
-    tell(&mut erring, &mut second, 2 * S);
+    crash_twice(&mut first, request);
+    expect_that!(refused(&first, request, 2 * S), eq(true));
+    broadcast(&mut first, &mut second, 2 * S);
     expect_that!(refused(&second, request, 2 * S), eq(false));
-    // The second node sees one more crash itself, and the third one hears of both.
+    // The second node observes one more crash itself, and the third one receives the evidence of both.
     second.crashed(request, 2 * S, 2 * S + 100 * MS);
     expect_that!(refused(&second, request, 2 * S + 100 * MS), eq(true));
-    let changes = tell(&mut second, &mut third, 2 * S + 100 * MS);
+    let changes = broadcast(&mut second, &mut third, 2 * S + 100 * MS);
     expect_that!(changes.len(), eq(1));
     expect_that!(refused(&third, request, 2 * S + 100 * MS), eq(true));
 }
 
 #[gtest]
-fn news_may_come_twice_and_in_any_order() {
+fn reports_may_arrive_repeatedly_and_out_of_order() {
     let (mut first, mut second) = (node(1), node(2));
     let request = request("/a");
     first.crashed(request, S, S + 100 * MS);
@@ -123,65 +123,68 @@
         second.receive(&early, S + 400 * MS + round * MS);
         second.receive(&late, S + 400 * MS + round * MS);
     }
-    // Three crashes, none counted twice: the quarantine that follows on three.
+    // Three crashes, none counted twice, so the hold time is that after three crashes.
     expect_that!(refused(&second, request, S + 400 * MS + 7 * S), eq(true));
     expect_that!(refused(&second, request, S + 400 * MS + 9 * S), eq(false));
 }
 
-/// A node that was paused told its crashes late, when the request had long run well elsewhere.
+/// A node that was paused reports its crashes late, after the request has already succeeded elsewhere.
 #[gtest]
-fn late_news_of_crashes_before_a_good_run_bring_nothing_back() {
+fn late_reports_of_crashes_before_a_success_are_ignored() {
     let (mut paused, mut other) = (node(1), node(2));
     let request = request("/a");
     crash_twice(&mut paused, request);
     other.crashed(request, S, S + 100 * MS);
     other.survived(request, 5 * S);
-    // Its clock runs on, so the age it tells is right.
-    tell(&mut paused, &mut other, 10 * S);
+    // Its clock kept running, so the reported ages are correct.
+    broadcast(&mut paused, &mut other, 10 * S);
     expect_that!(refused(&other, request, 10 * S), eq(false));
 }
 
 #[gtest]
-fn after_a_quarantine_one_run_at_a_time_is_tried_by_few_nodes_first() {
+fn trials_after_quarantine_run_one_at_a_time_on_few_nodes_first() {
     let mut node = node(1);
     let request = request("/a");
     crash_twice(&mut node, request);
-    let over = S + 200 * MS + 2 * S;
-    expect_that!(send(&mut node, request, &FIRST, over - MS), eq(false));
-    expect_that!(node.refuses(&request, &LAST, over), eq(true));
-    expect_that!(send(&mut node, request, &FIRST, over), eq(true));
-    // Copies that come while it runs are not sent.
-    expect_that!(send(&mut node, request, &FIRST, over + 50 * MS), eq(false));
-    // All of 18 nodes may try some nine seconds later.
-    expect_that!(node.refuses(&request, &LAST, over + 9 * S), eq(false));
+    let hold_end_us = S + 200 * MS + 2 * S;
+    expect_that!(send(&mut node, request, &FIRST_TURN, hold_end_us - MS), eq(false));
+    expect_that!(node.refuses(&request, &LAST_TURN, hold_end_us), eq(true));
+    expect_that!(send(&mut node, request, &FIRST_TURN, hold_end_us), eq(true));
+    // Copies that arrive during the trial are not sent.
+    expect_that!(send(&mut node, request, &FIRST_TURN, hold_end_us + 50 * MS), eq(false));
+    // All 18 nodes may try about nine seconds later.
+    expect_that!(node.refuses(&request, &LAST_TURN, hold_end_us + 9 * S), eq(false));
 }
 
 #[gtest]
-fn a_trial_that_crashes_quarantines_for_four_times_as_long_and_one_that_runs_well_lifts() {
+fn crashed_trial_quadruples_hold_time_and_successful_trial_lifts_quarantine() {
     let mut node = node(1);
     let request = request("/a");
     crash_twice(&mut node, request);
-    let tried = S + 200 * MS + 2 * S;
-    expect_that!(send(&mut node, request, &FIRST, tried), eq(true));
-    let change = node.crashed(request, tried, tried + 100 * MS);
+    let first_trial_us = S + 200 * MS + 2 * S;
+    expect_that!(send(&mut node, request, &FIRST_TURN, first_trial_us), eq(true));
+    let change = node.crashed(request, first_trial_us, first_trial_us + 100 * MS);
     expect_that!(change, some(eq(QuarantineChange::Began { request, crashes: 3, hold_ms: 8_000 })));
-    expect_that!(refused(&node, request, tried + 8 * S), eq(true));
-    let again = tried + 9 * S;
-    expect_that!(send(&mut node, request, &FIRST, again), eq(true));
-    expect_that!(node.survived(request, again + 100 * MS), some(eq(QuarantineChange::Lifted { request })));
-    expect_that!(send(&mut node, request, &LAST, again + 100 * MS), eq(true));
-    expect_that!(send(&mut node, request, &LAST, again + 101 * MS), eq(true));
+    expect_that!(refused(&node, request, first_trial_us + 8 * S), eq(true));
+    let second_trial_us = first_trial_us + 9 * S;
+    expect_that!(send(&mut node, request, &FIRST_TURN, second_trial_us), eq(true));
+    expect_that!(
+        node.survived(request, second_trial_us + 100 * MS),
+        some(eq(QuarantineChange::Lifted { request }))
+    );
+    expect_that!(send(&mut node, request, &LAST_TURN, second_trial_us + 100 * MS), eq(true));
+    expect_that!(send(&mut node, request, &LAST_TURN, second_trial_us + 101 * MS), eq(true));
 }
 
-/// At 2, 10, 42 and 170 s: a request that comes all the time crashes three more upstreams in two and a half minutes.
+/// Trials take place after 2, 10, 42 and 170 s, so three more upstreams crash in two and a half minutes.
 #[gtest]
-fn a_request_that_comes_all_the_time_crashes_few_upstreams_in_trials() {
+fn continuously_repeated_request_crashes_few_upstreams_in_trials() {
     let mut node = node(1);
     let request = request("/a");
     crash_twice(&mut node, request);
     let mut trials = 0;
     for now_ms in (1_300..160_000).step_by(100) {
-        if send(&mut node, request, &FIRST, now_ms * MS) {
+        if send(&mut node, request, &FIRST_TURN, now_ms * MS) {
             trials += 1;
             node.crashed(request, now_ms * MS, (now_ms + 60) * MS);
         }
@@ -190,7 +193,7 @@
 }
 
 #[gtest]
-fn a_request_is_forgotten_long_after_and_begins_anew() {
+fn evidence_expires_and_history_starts_over() {
     let mut node = node(1);
     let request = request("/a");
     crash_twice(&mut node, request);
@@ -204,7 +207,7 @@
 }
 
 #[gtest]
-fn a_request_of_which_nothing_is_known_allocates_nothing() {
+fn lookup_of_an_untracked_request_does_not_allocate() {
     let none = node(1);
     let mut some = node(1);
     crash_twice(&mut some, request("/guilty"));
@@ -216,37 +219,38 @@
     }
 }
 
-/// A node that was suspended tells ages by a clock that stood still: what it tells seems younger by that time, and counts as long.
+/// The clock of a suspended node stands still, so the ages that it reports are too low by the time of suspension and
+/// the quarantine lasts longer by that time.
 #[gtest]
-fn crashes_that_a_suspended_node_tells_seem_younger_and_hold_longer() {
+fn crashes_reported_by_a_suspended_node_appear_newer_and_hold_longer() {
     let (mut suspended, mut other) = (node(1), node(2));
     let request = request("/a");
     crash_twice(&mut suspended, request);
-    let told = suspended.take_urgent(S + 300 * MS);
-    // Others' clocks went on for five seconds.
-    other.receive(&told, 6 * S + 300 * MS);
+    let news = suspended.take_urgent(S + 300 * MS);
+    // The clocks of the other nodes advanced by five seconds.
+    other.receive(&news, 6 * S + 300 * MS);
     other.crashed(request, 6 * S + 400 * MS, 6 * S + 500 * MS);
     expect_that!(refused(&other, request, 6 * S + 500 * MS), eq(true));
     expect_that!(refused(&other, request, 14 * S), eq(true));
     expect_that!(refused(&other, request, 15 * S), eq(false));
 }
 
-/// At the bound the requests with the fewest crashes go first.
+/// When the table is full, the requests with the fewest crashes are evicted first.
 #[gtest]
-fn memory_is_bounded_and_what_is_quarantined_stays() {
+fn tracked_requests_are_bounded_and_quarantined_ones_kept() {
     let mut node = node(1);
-    let guilty = request("/guilty");
-    crash_twice(&mut node, guilty);
+    let crashing = request("/guilty");
+    crash_twice(&mut node, crashing);
     for number in 0..20_000_u64 {
-        let at = 2 * S + number * MS;
-        node.crashed(request(&format!("/{number}")), at, at + 10 * MS);
+        let sent_at_us = 2 * S + number * MS;
+        node.crashed(request(&format!("/{number}")), sent_at_us, sent_at_us + 10 * MS);
     }
     expect_that!(node.len(), eq(512));
     expect_that!(node.quarantined(), eq(1));
 }
 
 #[gtest]
-fn it_can_be_switched_off() {
+fn zero_after_crashes_disables_quarantine() {
     let options = QuarantineOptions { after_crashes: 0, ..QuarantineOptions::default() };
     let mut off = Quarantine::new(options, 1, 0);
     let request = request("/a");
@@ -254,6 +258,6 @@
     expect_that!(refused(&off, request, 2 * S), eq(false));
     let mut on = node(2);
     crash_twice(&mut on, request);
-    expect_that!(tell(&mut on, &mut off, 2 * S).len(), eq(0));
+    expect_that!(broadcast(&mut on, &mut off, 2 * S).len(), eq(0));
     expect_that!(off.is_empty(), eq(true));
 }
