--- a/crates/pointvane-dispatch/tests/access.rs
+++ b/crates/pointvane-dispatch/tests/access.rs
@@ -1,4 +1,4 @@
-//! Which client account a request counts for, and when it is not served.
+//! Attribution of requests to client accounts, and refusal of requests without access.
 
 mod common;
 
@@ -30,8 +30,8 @@
     RouteTable::new(RoutingConfiguration { accounts, routes, ..configuration(1) })
 }
 
-/// The name of the account that a key counts for.
-fn found(
+/// Returns the name of the account to which a key is attributed.
+fn account_name(
     table: &RouteTable,
     route: &RouteRule,
     key: Option<&str>,
@@ -42,42 +42,42 @@
 }
 
 #[gtest]
-fn each_key_counts_for_the_account_that_holds_it() {
+fn key_is_attributed_to_the_account_that_holds_it() {
     let table = table(Some(vec![
         account("a", &["1", "2"], None),
         account("b", &["3"], None),
         account("c", &[], None),
     ]));
     for (key, name) in [("1", "a"), ("2", "a"), ("3", "b")] {
-        expect_that!(found(&table, &public(false), Some(key)), ok(some(eq(name))));
-        expect_that!(found(&table, &public(true), Some(key)), ok(some(eq(name))));
+        expect_that!(account_name(&table, &public(false), Some(key)), ok(some(eq(name))));
+        expect_that!(account_name(&table, &public(true), Some(key)), ok(some(eq(name))));
     }
 }
 
 #[gtest]
-fn a_key_that_is_not_known_is_refused_unless_the_route_is_public() {
+fn unknown_key_is_refused_unless_the_route_is_public() {
     let table = table(Some(vec![account("a", &["1"], None)]));
     for key in [None, Some("4"), Some("")] {
-        expect_that!(found(&table, &public(false), key), err(eq(&ErrorKind::Unauthorized)));
-        expect_that!(found(&table, &public(true), key), ok(none()));
+        expect_that!(account_name(&table, &public(false), key), err(eq(&ErrorKind::Unauthorized)));
+        expect_that!(account_name(&table, &public(true), key), ok(none()));
     }
 }
 
 #[gtest]
-fn where_there_are_no_accounts_everybody_is_served_and_where_the_list_is_empty_nobody() {
-    expect_that!(found(&table(None), &public(false), Some("1")), ok(none()));
+fn absent_account_list_allows_all_and_empty_list_allows_none() {
+    expect_that!(account_name(&table(None), &public(false), Some("1")), ok(none()));
     expect_that!(
-        found(&table(Some(Vec::new())), &public(false), Some("1")),
+        account_name(&table(Some(Vec::new())), &public(false), Some("1")),
         err(eq(&ErrorKind::Unauthorized))
     );
 }
 
 #[gtest]
-fn an_accounts_priority_goes_before_its_routes() {
+fn account_priority_overrides_route_priority() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut priority = |own: Option<u32>| {
+    let mut priority = |account_priority: Option<u32>| {
         let routed = table(None).route("h", "/", &mut rng).unwrap();
-        routed.of_account(Some(account("a", &[], own))).route.priority
+        routed.of_account(Some(account("a", &[], account_priority))).route.priority
     };
     expect_that!(priority(None), eq(2));
     expect_that!(priority(Some(0)), eq(0));
@@ -85,26 +85,26 @@
 }
 
 #[gtest]
-fn the_table_gives_back_the_accounts_that_it_was_made_of() {
+fn table_returns_the_configured_accounts() {
     let accounts = vec![account("a", &["1", "2"], Some(1))];
     expect_that!(table(Some(accounts.clone())).configuration().accounts, some(eq(&accounts)));
     expect_that!(table(None).configuration().accounts, none());
 }
 
 #[gtest]
-fn keys_are_refused_once_they_are_unconfirmed_where_the_deployment_wants_that() {
+fn unconfirmed_keys_are_refused_if_the_deployment_sets_a_maximum_age() {
     let account = account("a", &["1"], None);
     let seconds = |seconds| Some(Duration::from_secs(seconds));
     let refused = err(eq(ErrorKind::AccountsUnconfirmed));
-    expect_that!(confirm(Some(&account), seconds(6), None), ok(()), "served on");
+    expect_that!(confirm(Some(&account), seconds(6), None), ok(()), "no maximum age is set");
     expect_that!(confirm(Some(&account), seconds(5), seconds(5)), ok(()));
     expect_that!(confirm(Some(&account), seconds(6), seconds(5)), refused);
     expect_that!(confirm(Some(&account), None, seconds(5)), err(eq(ErrorKind::AccountsUnconfirmed)));
-    expect_that!(confirm(None, seconds(6), seconds(5)), ok(()), "no key, nothing to confirm");
+    expect_that!(confirm(None, seconds(6), seconds(5)), ok(()), "no account to confirm");
 }
 
 #[gtest]
-fn a_region_is_allowed_only_by_route_and_account_together() {
+fn region_must_be_allowed_by_both_route_and_account() {
     let regions = |of_route: &[&str], of_account: &[&str]| AllowedRegions {
         of_route: of_route.iter().map(|name| (*name).into()).collect(),
         of_account: of_account.iter().map(|name| (*name).into()).collect(),
@@ -115,5 +115,5 @@
     expect_that!(regions(&["north"], &[]).allow(Some(&south)), eq(false));
     expect_that!(regions(&["north"], &["south"]).allow(Some(&north)), eq(false));
     expect_that!(regions(&["north"], &["south", "north"]).allow(Some(&north)), eq(true));
-    expect_that!(regions(&[], &["north"]).allow(None), eq(false), "nobody knows where it is");
+    expect_that!(regions(&[], &["north"]).allow(None), eq(false), "the region is unknown");
 }
--- a/crates/pointvane-dispatch/tests/fingerprint.rs
+++ b/crates/pointvane-dispatch/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests count as the same.
+//! Which requests have the same fingerprint.
 
 use {
     googletest::prelude::*,
@@ -7,9 +7,9 @@
     },
 };
 
-/// The parts of a request that count.
+/// The fields of a request that its fingerprint covers.
 #[derive(Clone, Copy, Debug)]
-struct Parts {
+struct RequestParts {
     method: &'static str,
     host: &'static str,
     path: &'static str,
@@ -19,14 +19,14 @@
     length: Option<u64>,
 }
 
-impl Parts {
+impl RequestParts {
     fn fingerprint(self) -> RequestFingerprint {
         HeadFingerprint::new(self.method, self.host, self.path, self.credentials)
             .with_rest(self.query, BodyFingerprint::new(self.body, self.length))
     }
 }
 
-const PARTS: Parts = Parts {
+const BASE_REQUEST: RequestParts = RequestParts {
     method: "POST",
     host: "app.example",
     path: "/orders/1",
@@ -37,46 +37,47 @@
 };
 
 #[gtest]
-fn a_request_that_comes_again_is_the_same() {
-    expect_that!(PARTS.fingerprint(), eq(PARTS.fingerprint()));
+fn repeated_request_has_the_same_fingerprint() {
+    expect_that!(BASE_REQUEST.fingerprint(), eq(BASE_REQUEST.fingerprint()));
 }
 
 #[gtest]
-fn requests_that_differ_in_any_part_that_counts_are_not_the_same() {
-    let others = [
-        Parts { method: "PUT", ..PARTS },
-        Parts { host: "other.example", ..PARTS },
-        Parts { path: "/orders/2", ..PARTS },
-        Parts { credentials: Some(b"Bearer two"), ..PARTS },
-        Parts { credentials: None, ..PARTS },
-        Parts { query: QueryScope::Exact(Some("page=3")), ..PARTS },
-        Parts { query: QueryScope::Exact(Some("")), ..PARTS },
-        Parts { query: QueryScope::Exact(None), ..PARTS },
-        Parts { query: QueryScope::Any, ..PARTS },
-        Parts { body: b"date", ..PARTS },
-        Parts { length: Some(5), ..PARTS },
-        Parts { length: None, ..PARTS },
-        // The same bytes, cut elsewhere.
-        Parts { host: "app.example/", path: "orders/1", ..PARTS },
+fn requests_that_differ_in_any_covered_field_have_different_fingerprints() {
+    let variants = [
+        RequestParts { method: "PUT", ..BASE_REQUEST },
+        RequestParts { host: "other.example", ..BASE_REQUEST },
+        RequestParts { path: "/orders/2", ..BASE_REQUEST },
+        RequestParts { credentials: Some(b"Bearer two"), ..BASE_REQUEST },
+        RequestParts { credentials: None, ..BASE_REQUEST },
+        RequestParts { query: QueryScope::Exact(Some("page=3")), ..BASE_REQUEST },
+        RequestParts { query: QueryScope::Exact(Some("")), ..BASE_REQUEST },
+        RequestParts { query: QueryScope::Exact(None), ..BASE_REQUEST },
+        RequestParts { query: QueryScope::Any, ..BASE_REQUEST },
+        RequestParts { body: b"date", ..BASE_REQUEST },
+        RequestParts { length: Some(5), ..BASE_REQUEST },
+        RequestParts { length: None, ..BASE_REQUEST },
+        // The same bytes, divided differently between host and path.
+        RequestParts { host: "app.example/", path: "orders/1", ..BASE_REQUEST },
     ];
-    for other in others {
-        expect_that!(other.fingerprint(), not(eq(PARTS.fingerprint())), "{other:?}");
+    for variant in variants {
+        expect_that!(variant.fingerprint(), not(eq(BASE_REQUEST.fingerprint())), "{variant:?}");
     }
 }
 
 #[gtest]
-fn requests_that_differ_in_query_or_body_have_the_same_head() {
-    let other = Parts { query: QueryScope::Any, body: b"other", ..PARTS };
-    expect_that!(other.fingerprint().head(), eq(PARTS.fingerprint().head()));
+fn requests_that_differ_only_in_query_or_body_share_the_head() {
+    let variant = RequestParts { query: QueryScope::Any, body: b"other", ..BASE_REQUEST };
+    expect_that!(variant.fingerprint().head(), eq(BASE_REQUEST.fingerprint().head()));
 }
 
-/// Of a streamed body each node has a first part of its own length.
+/// Nodes may hold prefixes of different lengths of the same streamed body.
 #[gtest]
-fn of_a_long_body_its_first_part_and_its_length_count() {
-    let head = HeadFingerprint::new(PARTS.method, PARTS.host, PARTS.path, None);
+fn long_bodies_are_covered_by_their_prefix_and_length() {
+    let head = HeadFingerprint::new(BASE_REQUEST.method, BASE_REQUEST.host, BASE_REQUEST.path, None);
     let long = vec![7; FINGERPRINT_BODY_BYTES * 2];
     let length = long.len() as u64;
-    let fingerprint = |body, length| head.with_rest(PARTS.query, BodyFingerprint::new(body, Some(length)));
+    let fingerprint =
+        |body, length| head.with_rest(BASE_REQUEST.query, BodyFingerprint::new(body, Some(length)));
     let whole = fingerprint(&long, length);
     expect_that!(fingerprint(&long[..FINGERPRINT_BODY_BYTES + 9], length), eq(whole));
     expect_that!(fingerprint(&long, length + 1), not(eq(whole)));
--- a/crates/pointvane-dispatch/tests/limits.rs
+++ b/crates/pointvane-dispatch/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name a limit, in the pool of one node: who may get work, for which life, what is told on.
+//! Request limits in the pool of one node: eligibility, incarnations and announcements.
 
 mod common;
 
@@ -19,21 +19,21 @@
 const MS: u64 = 1_000;
 const S: u64 = 1_000 * MS;
 const SERVICE: &str = "dispatch";
-static ANY: AllowedRegions = AllowedRegions::ANY;
-const ALONE: LimitPlace = LimitPlace { before: 0, processes: 1, reached_share: 1.0 };
+static ANY_REGION: AllowedRegions = AllowedRegions::ANY;
+const SOLE_NODE: LimitPlace = LimitPlace { before: 0, processes: 1, reached_share: 1.0 };
 
-fn listed(id: &str, born_ms: u64) -> UpstreamRecord {
+fn entry(id: &str, born_ms: u64) -> UpstreamRecord {
     UpstreamRecord { born_ms: Some(born_ms), ..record(id, 1) }
 }
 
 fn pool(ids: &[&str]) -> Pool {
     let mut pool = Pool::new(RankingOptions::default(), "one".into(), 1);
-    ids.iter().for_each(|id| _ = pool.upsert(listed(id, 1_000), MS));
+    ids.iter().for_each(|id| _ = pool.upsert(entry(id, 1_000), MS));
     pool
 }
 
 fn wanted(priority: u32) -> Wanted<'static> {
-    Wanted { tried: &[], body_bytes: 0, count: 20, regions: &ANY, priority }
+    Wanted { tried: &[], body_bytes: 0, count: 20, regions: &ANY_REGION, priority }
 }
 
 fn key(pool: &mut Pool, id: &str) -> UpstreamKey {
@@ -41,8 +41,8 @@
     all.into_iter().find(|key| pool.get(*key).unwrap().id().as_str() == id).unwrap()
 }
 
-/// The upstream names one request a second at 1 s, and this node may send it.
-fn name_limit(pool: &mut Pool, key: UpstreamKey, place: Option<LimitPlace>) {
+/// The upstream advertises a limit of one request per second at 1 s; this node has the given place.
+fn advertise_limit(pool: &mut Pool, key: UpstreamKey, place: Option<LimitPlace>) {
     let change = pool.record_limit(key, LimitNotice::Advertised(1_000), Some(MS), S);
     expect_that!(change, some(eq(LimitChange::Set(1_000))));
     pool.set_limit_place(key, place, S);
@@ -62,10 +62,10 @@
 }
 
 #[gtest]
-fn a_node_without_a_part_sends_nothing_and_goes_to_others() {
+fn node_without_a_share_uses_other_upstreams() {
     let mut pool = pool(&["a", "b"]);
     let a = key(&mut pool, "a");
-    name_limit(&mut pool, a, None);
+    advertise_limit(&mut pool, a, None);
     expect_that!(pool.begin_send(a, 90 * S), err(eq(Ineligible::Limited)));
     for now_us in (S..20 * S).step_by(100_000) {
         let found = pool.candidates(&SERVICE.into(), &wanted(0), now_us);
@@ -74,23 +74,23 @@
 }
 
 #[gtest]
-fn the_second_of_two_requests_that_chose_it_together_is_withheld_right_before_its_send() {
+fn second_concurrent_request_is_withheld_before_its_send() {
     let mut pool = pool(&["a"]);
     let a = key(&mut pool, "a");
-    name_limit(&mut pool, a, Some(ALONE));
+    advertise_limit(&mut pool, a, Some(SOLE_NODE));
     expect_that!(pool.begin_send(a, 3 * S), ok(anything()));
     expect_that!(pool.begin_send(a, 3 * S), err(eq(Ineligible::Limited)));
     expect_that!(pool.begin_send(a, 4 * S), ok(anything()));
 }
 
 #[gtest]
-fn a_limited_upstream_is_asked_by_a_request_and_by_no_probe() {
+fn limited_upstream_is_refreshed_by_a_request_and_not_probed() {
     let mut pool = pool(&["a", "b"]);
     let (a, b) = (key(&mut pool, "a"), key(&mut pool, "b"));
     let idle = UpstreamLoad { running: 0, waiting: 0, slots: 3, slowdown_percent: 100 };
     [a, b].into_iter().for_each(|key| pool.record_load(key, idle, MS));
-    name_limit(&mut pool, a, Some(ALONE));
-    // Nothing was heard of the limit for a second.
+    advertise_limit(&mut pool, a, Some(SOLE_NODE));
+    // The limit has not been confirmed for more than a second, so a request is sent to refresh it.
     expect_that!(search(&mut pool, 0, 5 * S), eq(&SearchStep::Done(Found::Uncontended(a))));
     pool.record_limit(a, LimitNotice::Advertised(1_000), Some(5 * S), 5 * S);
     let step = search(&mut pool, 0, 5 * S + MS);
@@ -98,11 +98,11 @@
 }
 
 #[gtest]
-fn where_all_are_at_their_limits_a_request_is_refused_at_once_and_told_when_to_retry() {
+fn request_is_refused_with_retry_time_when_all_upstreams_are_limited() {
     let mut pool = pool(&["a", "b"]);
     let (a, b) = (key(&mut pool, "a"), key(&mut pool, "b"));
-    name_limit(&mut pool, a, Some(ALONE));
-    name_limit(&mut pool, b, None);
+    advertise_limit(&mut pool, a, Some(SOLE_NODE));
+    advertise_limit(&mut pool, b, None);
     expect_that!(pool.begin_send(a, 3 * S), ok(anything()));
     let step = search(&mut pool, 0, 3 * S + 200 * MS);
     expect_that!(step, eq(&SearchStep::Done(Found::Nothing(Ineligible::Limited))));
@@ -111,15 +111,16 @@
     expect_that!((withheld.upstreams, withheld.limited), eq((2, 2)));
     expect_that!(withheld.back_in_ms, some(eq(800)));
     let rule = route(RouteKind::Safe);
-    let told = retry_after_ms(&rule, ErrorKind::UpstreamsLimited, RefusedBy::Node, withheld.back_in_ms, 0.0);
-    expect_that!(told, some(eq(800)));
+    let retry_ms =
+        retry_after_ms(&rule, ErrorKind::UpstreamsLimited, RefusedBy::Node, withheld.back_in_ms, 0.0);
+    expect_that!(retry_ms, some(eq(800)));
 }
 
 #[gtest]
-fn less_urgent_work_leaves_the_next_request_to_urgent_work_for_a_while() {
+fn next_request_is_reserved_for_urgent_work_for_a_while() {
     let mut pool = pool(&["a"]);
     let a = key(&mut pool, "a");
-    name_limit(&mut pool, a, Some(ALONE));
+    advertise_limit(&mut pool, a, Some(SOLE_NODE));
     expect_that!(pool.begin_send(a, 3 * S), ok(anything()));
     let nothing = SearchStep::Done(Found::Nothing(Ineligible::Limited));
     expect_that!(search(&mut pool, 1, 4 * S), eq(&nothing));
@@ -129,10 +130,10 @@
 }
 
 #[gtest]
-fn after_a_limit_one_request_goes_there_alone_until_it_is_answered() {
+fn lifted_limit_is_followed_by_a_single_trial_request() {
     let mut pool = pool(&["a"]);
     let a = key(&mut pool, "a");
-    name_limit(&mut pool, a, Some(ALONE));
+    advertise_limit(&mut pool, a, Some(SOLE_NODE));
     expect_that!(pool.record_limit(a, LimitNotice::Absent, Some(2 * S), 2 * S), none());
     let lifted = pool.record_limit(a, LimitNotice::Absent, Some(2 * S), 2 * S);
     expect_that!(lifted, some(eq(LimitChange::Lifted)));
@@ -144,59 +145,59 @@
 }
 
 #[gtest]
-fn a_limit_holds_for_one_life_also_when_its_entry_goes_and_returns() {
+fn limit_survives_removal_of_the_entry_but_not_a_new_incarnation() {
     let mut pool = pool(&["a"]);
     let a = key(&mut pool, "a");
-    name_limit(&mut pool, a, None);
+    advertise_limit(&mut pool, a, None);
     pool.remove(&"a".into());
-    pool.upsert(UpstreamRecord { sequence: 2, ..listed("a", 1_000) }, 2 * S);
+    pool.upsert(UpstreamRecord { sequence: 2, ..entry("a", 1_000) }, 2 * S);
     expect_that!(pool.limited().len(), eq(1));
-    let again = pool.limited()[0];
-    expect_that!(pool.begin_send(again, 3 * S), err(eq(Ineligible::Limited)));
-    pool.upsert(listed("a", 2_000), 4 * S);
-    let later = key(&mut pool, "a");
-    expect_that!(pool.is_limited(later), eq(false));
-    // What the earlier life says last changes nothing.
-    expect_that!(pool.record_limit(again, LimitNotice::Advertised(500), Some(S), 4 * S), none());
-    expect_that!(pool.begin_send(later, 4 * S), ok(anything()));
+    let returned = pool.limited()[0];
+    expect_that!(pool.begin_send(returned, 3 * S), err(eq(Ineligible::Limited)));
+    pool.upsert(entry("a", 2_000), 4 * S);
+    let new_incarnation = key(&mut pool, "a");
+    expect_that!(pool.is_limited(new_incarnation), eq(false));
+    // A late response of the previous incarnation is ignored.
+    expect_that!(pool.record_limit(returned, LimitNotice::Advertised(500), Some(S), 4 * S), none());
+    expect_that!(pool.begin_send(new_incarnation, 4 * S), ok(anything()));
 }
 
 #[gtest]
-fn news_of_another_life_or_of_an_unknown_upstream_change_nothing() {
-    let news = |upstream: &str, born_ms| LimitAnnouncement {
+fn announcements_for_another_incarnation_or_unknown_upstream_are_ignored() {
+    let announcement = |upstream: &str, born_ms| LimitAnnouncement {
         upstream: upstream.into(),
         born_ms,
         per_1000_s: Some(2_000),
         age_ms: 3,
     };
     let mut pool = pool(&["a"]);
-    expect_that!(pool.receive_limit(&news("a", Some(999)), S), none());
-    expect_that!(pool.receive_limit(&news("b", Some(1_000)), S), none());
+    expect_that!(pool.receive_limit(&announcement("a", Some(999)), S), none());
+    expect_that!(pool.receive_limit(&announcement("b", Some(1_000)), S), none());
     expect_that!(pool.limited().is_empty(), eq(true));
-    let heard = pool.receive_limit(&news("a", Some(1_000)), S);
-    expect_that!(heard.map(|(_, change)| change), some(eq(LimitChange::Set(2_000))));
-    expect_that!(pool.take_limit_announcements(9 * S), is_empty(), "who told it tells it again");
+    let received = pool.receive_limit(&announcement("a", Some(1_000)), S);
+    expect_that!(received.map(|(_, change)| change), some(eq(LimitChange::Set(2_000))));
+    expect_that!(pool.take_limit_announcements(9 * S), is_empty(), "only the origin announces again");
 }
 
 #[gtest]
-fn what_an_upstream_says_is_told_on_until_it_names_no_limit_any_more() {
+fn limits_and_their_end_are_announced_to_other_nodes() {
     let mut pool = pool(&["a"]);
     let a = key(&mut pool, "a");
-    name_limit(&mut pool, a, Some(ALONE));
-    let told = pool.take_limit_announcements(S + 7 * MS);
-    let named =
+    advertise_limit(&mut pool, a, Some(SOLE_NODE));
+    let announced = pool.take_limit_announcements(S + 7 * MS);
+    let advertised =
         LimitAnnouncement { upstream: "a".into(), born_ms: Some(1_000), per_1000_s: Some(1_000), age_ms: 7 };
-    expect_that!(told, eq(&vec![named.clone()]));
+    expect_that!(announced, eq(&vec![advertised.clone()]));
     (0..2).for_each(|_| _ = pool.record_limit(a, LimitNotice::Absent, Some(2 * S), 2 * S));
     for age_ms in [0, 200, 400] {
-        let lifted = LimitAnnouncement { per_1000_s: None, age_ms, ..named.clone() };
+        let lifted = LimitAnnouncement { per_1000_s: None, age_ms, ..advertised.clone() };
         expect_that!(pool.take_limit_announcements(2 * S + u64::from(age_ms) * MS), eq(&vec![lifted]));
     }
-    expect_that!(pool.limited().is_empty(), eq(true), "nothing is followed any more");
+    expect_that!(pool.limited().is_empty(), eq(true), "the upstream is no longer tracked");
 }
 
 #[gtest]
-fn as_many_limits_as_go_into_a_message_fit_a_datagram() {
+fn largest_message_fits_in_one_datagram() {
     let longest = LimitAnnouncement {
         upstream: "i".repeat(64).as_str().into(),
         born_ms: Some(u64::MAX),
--- a/crates/pointvane-dispatch/tests/limits_fleet.rs
+++ b/crates/pointvane-dispatch/tests/limits_fleet.rs
@@ -1,4 +1,5 @@
-//! A simulated fleet before one upstream that names a limit: what it gets in the worst window, and how much of the limit is used.
+//! Simulation of a fleet using one upstream that advertises a limit: requests received in the worst window, and
+//! utilization of the limit.
 
 use {
     googletest::prelude::*,
@@ -9,68 +10,69 @@
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000 * MS;
-/// Window over which the users count requests.
+/// Length of the sliding window over which requests are counted.
 const WINDOW_US: u64 = 4 * S;
-/// Time after the first report from which on the limit binds, by the users' rule.
-const BINDS_AFTER_US: u64 = 3 * S;
-/// When the upstream begins to name a limit, and when it ends.
-const NAMED_US: u64 = 2 * S;
-const LIFTED_US: u64 = 42 * S;
+/// Time after the first advertisement from which the limit must be respected.
+const ENFORCED_AFTER_US: u64 = 3 * S;
+/// When the upstream starts and stops advertising a limit.
+const LIMIT_START_US: u64 = 2 * S;
+const LIMIT_END_US: u64 = 42 * S;
 const END_US: u64 = 46 * S;
-/// Time that a datagram takes, and the part of them that is lost.
-const DATAGRAM_US: u64 = 2 * MS;
-const LOST: f64 = 0.02;
-/// Time between two checks of a node for what is to be told and for its place.
+/// Latency of a datagram, and the fraction of datagrams that is lost.
+const LATENCY_US: u64 = 2 * MS;
+const LOSS_RATE: f64 = 0.02;
+/// Interval at which a node updates its place and sends pending announcements.
 const TICK_US: u64 = 200 * MS;
-/// Time until a cut is noticed.
-const NOTICED_US: u64 = 1_400 * MS;
-/// Time after its start in which a node does not know the others.
-const SETTLED_US: u64 = 1_500 * MS;
+/// Time until a partition is detected.
+const PARTITION_DETECTION_US: u64 = 1_400 * MS;
+/// Time after its start during which a node does not know the other nodes.
+const DISCOVERY_US: u64 = 1_500 * MS;
 
-/// How a limit is divided.
+/// How a limit is divided among nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// Each node sends an equal part once it was told by the upstream itself.
-    EqualParts,
-    /// Each node draws for each request, with the probability by which all together send the limit, as if their demand were known.
-    Draws,
-    /// As `RequestLimit` decides.
-    Few,
+enum Strategy {
+    /// Each node uses an equal share once the upstream itself has notified it of the limit.
+    EqualShares,
+    /// Each node sends each request with the probability at which the total matches the limit, as if the demand of all
+    /// nodes were known.
+    Random,
+    /// The production algorithm, `RequestLimit`.
+    Production,
 }
 
-/// What happens to the fleet while the limit holds.
+/// Faults and load patterns while the limit applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum Fault {
     None,
-    /// From 10 to 18 s the fleet is cut into halves, and at 25 s half of the nodes start again.
-    CutAndRestarts,
-    /// Callers use a third of the nodes only.
+    /// The fleet is partitioned into halves from 10 to 18 s, and half of the nodes restart at 25 s.
+    PartitionAndRestarts,
+    /// Callers use only a third of the nodes.
     DemandInOneDataCentre,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Play {
+struct Scenario {
     nodes: usize,
-    /// Requests a second of one node that may go to the upstream.
+    /// Requests per second on one node that may be sent to the upstream.
     demand_per_s: f64,
     per_1000_s: u32,
-    way: Way,
-    trouble: Trouble,
+    strategy: Strategy,
+    fault: Fault,
     seed: u64,
 }
 
-impl Play {
+impl Scenario {
     fn per_s(&self) -> f64 {
         f64::from(self.per_1000_s) / 1e3
     }
 
-    fn is_cut(&self, now_us: u64) -> bool {
-        self.trouble == Trouble::CutAndRestarts && (10 * S..18 * S).contains(&now_us)
+    fn is_partitioned(&self, now_us: u64) -> bool {
+        self.fault == Fault::PartitionAndRestarts && (10 * S..18 * S).contains(&now_us)
     }
 
-    /// Whether a node sees the fleet as cut, with the delay by which that is noticed.
-    fn sees_cut(&self, now_us: u64) -> bool {
-        self.is_cut(now_us.saturating_sub(NOTICED_US)) && self.is_cut(now_us)
+    /// Returns true if nodes have detected a partition that is still in progress.
+    fn sees_partition(&self, now_us: u64) -> bool {
+        self.is_partitioned(now_us.saturating_sub(PARTITION_DETECTION_US)) && self.is_partitioned(now_us)
     }
 }
 
@@ -78,90 +80,90 @@
 struct Node {
     limit: RequestLimit,
     started_us: u64,
-    /// Whether the upstream itself told this node.
-    was_told: bool,
-    next_us: u64,
+    /// Whether the upstream itself has notified this node of the limit.
+    was_notified: bool,
+    next_send_us: u64,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
-    /// When the upstream got requests.
-    got_us: Vec<u64>,
+struct Results {
+    /// Times at which the upstream received requests.
+    received_at_us: Vec<u64>,
     datagrams: usize,
-    /// Time after the end of the limit until the last node knows.
-    lifted_after_us: u64,
+    /// Time from the end of the limit until the last node knows of it.
+    lift_delay_us: u64,
 }
 
-impl Seen {
-    fn most_in_window(&self, from_us: u64, until_us: u64) -> usize {
-        let bound: Vec<u64> =
-            self.got_us.iter().copied().filter(|at_us| (from_us..until_us).contains(at_us)).collect();
+impl Results {
+    fn max_in_window(&self, from_us: u64, until_us: u64) -> usize {
+        let times_us: Vec<u64> =
+            self.received_at_us.iter().copied().filter(|at_us| (from_us..until_us).contains(at_us)).collect();
         let mut first = 0;
-        let mut most = 0;
-        for (index, at_us) in bound.iter().enumerate() {
-            while bound[first] + WINDOW_US <= *at_us {
+        let mut max = 0;
+        for (index, at_us) in times_us.iter().enumerate() {
+            while times_us[first] + WINDOW_US <= *at_us {
                 first += 1;
             }
-            most = most.max(index + 1 - first);
+            max = max.max(index + 1 - first);
         }
-        most
+        max
     }
 
-    fn got_between(&self, from_us: u64, until_us: u64) -> usize {
-        self.got_us.iter().filter(|at_us| (from_us..until_us).contains(at_us)).count()
+    fn received_between(&self, from_us: u64, until_us: u64) -> usize {
+        self.received_at_us.iter().filter(|at_us| (from_us..until_us).contains(at_us)).count()
     }
 }
 
 struct Fleet {
-    play: Play,
+    scenario: Scenario,
     nodes: Vec<Node>,
-    /// Words on their way: when they arrive, who sent them.
-    on_way: VecDeque<(u64, usize, LimitReport)>,
+    /// Datagrams in transit: arrival time, sender and content.
+    in_transit: VecDeque<(u64, usize, LimitReport)>,
     rng: SmallRng,
-    seen: Seen,
+    results: Results,
 }
 
 impl Fleet {
-    fn new(play: Play) -> Self {
-        let rng = SmallRng::seed_from_u64(play.seed);
-        let nodes = vec![Node::default(); play.nodes];
-        Self { play, nodes, on_way: VecDeque::new(), rng, seen: Seen::default() }
+    fn new(scenario: Scenario) -> Self {
+        let rng = SmallRng::seed_from_u64(scenario.seed);
+        let nodes = vec![Node::default(); scenario.nodes];
+        Self { scenario, nodes, in_transit: VecDeque::new(), rng, results: Results::default() }
     }
 
-    fn run(mut self) -> Seen {
-        let users = match self.play.trouble {
-            Trouble::DemandInOneDataCentre => self.play.nodes / 3,
-            _ => self.play.nodes,
+    fn run(mut self) -> Results {
+        let nodes_in_use = match self.scenario.fault {
+            Fault::DemandInOneDataCentre => self.scenario.nodes / 3,
+            _ => self.scenario.nodes,
         };
-        let all_per_s = self.play.demand_per_s * self.play.nodes as f64;
-        let (mut now_us, mut ticked_us, mut restarted) = (0, 0, false);
+        let total_per_s = self.scenario.demand_per_s * self.scenario.nodes as f64;
+        let (mut now_us, mut last_tick_us, mut restarted) = (0, 0, false);
         while now_us < END_US {
-            now_us += (-self.rng.random::<f64>().max(1e-12).ln() / all_per_s * 1e6) as u64;
-            if self.play.trouble == Trouble::CutAndRestarts && now_us >= 25 * S && !restarted {
+            now_us += (-self.rng.random::<f64>().max(1e-12).ln() / total_per_s * 1e6) as u64;
+            if self.scenario.fault == Fault::PartitionAndRestarts && now_us >= 25 * S && !restarted {
                 restarted = true;
-                (0..self.play.nodes).step_by(2).for_each(|node| {
+                (0..self.scenario.nodes).step_by(2).for_each(|node| {
                     self.nodes[node] = Node { started_us: now_us, ..Node::default() };
                 });
             }
             self.deliver(now_us);
-            while ticked_us + TICK_US <= now_us {
-                ticked_us += TICK_US;
-                (0..self.play.nodes).for_each(|node| self.tick(node, ticked_us));
+            while last_tick_us + TICK_US <= now_us {
+                last_tick_us += TICK_US;
+                (0..self.scenario.nodes).for_each(|node| self.tick(node, last_tick_us));
             }
-            let node = self.rng.random_range(0..users);
+            let node = self.rng.random_range(0..nodes_in_use);
             self.request(node, now_us);
         }
-        self.seen
+        self.results
     }
 
     fn place(&self, node: usize, now_us: u64) -> Option<LimitPlace> {
-        let Play { nodes, .. } = self.play;
-        // The order of rendezvous hashing; which nodes come first says nothing of them.
+        let Scenario { nodes, .. } = self.scenario;
+        // Stands in for rendezvous hashing: an arbitrary permutation of the nodes.
         let order = (node * 7 + 3) % nodes;
-        if now_us < self.nodes[node].started_us + SETTLED_US && self.nodes[node].started_us > 0 {
+        if now_us < self.nodes[node].started_us + DISCOVERY_US && self.nodes[node].started_us > 0 {
             return None;
         }
-        Some(match self.play.sees_cut(now_us) {
+        Some(match self.scenario.sees_partition(now_us) {
             true => LimitPlace { before: order / 2, processes: nodes / 2, reached_share: 0.5 },
             false => LimitPlace { before: order, processes: nodes, reached_share: 1.0 },
         })
@@ -177,29 +179,30 @@
         if self.nodes[node].limit.per_1000_s().is_some() {
             self.set_place(node, now_us);
         }
-        self.tell(node, now_us);
+        self.announce(node, now_us);
     }
 
-    fn tell(&mut self, node: usize, now_us: u64) {
+    fn announce(&mut self, node: usize, now_us: u64) {
         if let Some(report) = self.nodes[node].limit.take_announcement(1, now_us) {
-            self.seen.datagrams += self.play.nodes - 1;
-            self.on_way.push_back((now_us + DATAGRAM_US, node, report));
+            self.results.datagrams += self.scenario.nodes - 1;
+            self.in_transit.push_back((now_us + LATENCY_US, node, report));
         }
     }
 
     fn deliver(&mut self, now_us: u64) {
-        while self.on_way.front().is_some_and(|(at_us, ..)| *at_us <= now_us) {
-            let (at_us, from, report) = self.on_way.pop_front().unwrap();
-            for node in 0..self.play.nodes {
-                // Halves are nodes with even and odd numbers in the order.
-                let is_cut = self.play.is_cut(at_us) && (node * 7 + 3) % 2 != (from * 7 + 3) % 2;
-                if node == from || is_cut || self.rng.random_bool(LOST) {
+        while self.in_transit.front().is_some_and(|(at_us, ..)| *at_us <= now_us) {
+            let (at_us, from, report) = self.in_transit.pop_front().unwrap();
+            for node in 0..self.scenario.nodes {
+                // The partition separates nodes with even and odd positions in the order.
+                let is_partitioned =
+                    self.scenario.is_partitioned(at_us) && (node * 7 + 3) % 2 != (from * 7 + 3) % 2;
+                if node == from || is_partitioned || self.rng.random_bool(LOSS_RATE) {
                     continue;
                 }
                 if self.nodes[node].limit.receive(report, at_us).is_some() {
                     self.set_place(node, at_us);
                     if report.per_1000_s.is_none() {
-                        self.seen.lifted_after_us = at_us.saturating_sub(LIFTED_US);
+                        self.results.lift_delay_us = at_us.saturating_sub(LIMIT_END_US);
                     }
                 }
             }
@@ -208,126 +211,133 @@
 
     fn request(&mut self, node: usize, now_us: u64) {
         if self.may_send(node, now_us) {
-            self.seen.got_us.push(now_us);
-            self.answered(node, now_us);
+            self.results.received_at_us.push(now_us);
+            self.record_response(node, now_us);
         }
     }
 
     fn may_send(&mut self, node: usize, now_us: u64) -> bool {
-        let Play { nodes, demand_per_s, way, .. } = self.play;
-        let per_s = self.play.per_s();
+        let Scenario { nodes, demand_per_s, strategy, .. } = self.scenario;
+        let per_s = self.scenario.per_s();
         let state = &mut self.nodes[node];
-        match way {
-            Way::Few => {
+        match strategy {
+            Strategy::Production => {
                 let may = !state.limit.holds(now_us);
                 if may {
                     state.limit.send_began(now_us);
                 }
                 may
             }
-            Way::EqualParts if state.was_told => {
+            Strategy::EqualShares if state.was_notified => {
                 let interval_us = (nodes as f64 / per_s * 1e6) as u64;
-                let may = now_us >= state.next_us;
+                let may = now_us >= state.next_send_us;
                 if may {
-                    state.next_us = now_us + interval_us;
+                    state.next_send_us = now_us + interval_us;
                 }
                 may
             }
-            Way::Draws if state.was_told => {
+            Strategy::Random if state.was_notified => {
                 self.rng.random_bool((per_s / (demand_per_s * nodes as f64)).min(1.0))
             }
-            Way::EqualParts | Way::Draws => true,
+            Strategy::EqualShares | Strategy::Random => true,
         }
     }
 
-    fn answered(&mut self, node: usize, now_us: u64) {
-        let names = (NAMED_US..LIFTED_US).contains(&now_us);
-        let notice = if names { LimitNotice::Advertised(self.play.per_1000_s) } else { LimitNotice::Absent };
+    fn record_response(&mut self, node: usize, now_us: u64) {
+        let advertises = (LIMIT_START_US..LIMIT_END_US).contains(&now_us);
+        let notice =
+            if advertises { LimitNotice::Advertised(self.scenario.per_1000_s) } else { LimitNotice::Absent };
         let state = &mut self.nodes[node];
-        state.was_told |= names;
-        if self.play.way != Way::Few {
+        state.was_notified |= advertises;
+        if self.scenario.strategy != Strategy::Production {
             return;
         }
         if state.limit.record_answer(notice, Some(now_us), now_us).is_some() {
             self.set_place(node, now_us);
         }
-        self.tell(node, now_us);
+        self.announce(node, now_us);
     }
 }
 
 const SIZES: [(usize, f64); 4] = [(18, 13.0), (121, 4.8), (586, 2.0), (1_800, 0.46)];
 const LIMITS: [u32; 4] = [1_000, 2_500, 6_000, 40_000];
 
-fn allowed(per_s: f64) -> usize {
+fn requests_max(per_s: f64) -> usize {
     (1.5 * per_s * 4.0 + 5.0) as usize
 }
 
-fn plays(trouble: Trouble, seed: u64) -> impl Iterator<Item = Play> {
+fn scenarios(fault: Fault, seed: u64) -> impl Iterator<Item = Scenario> {
     SIZES.into_iter().flat_map(move |(nodes, demand_per_s)| {
-        LIMITS.into_iter().map(move |per_1000_s| Play {
+        LIMITS.into_iter().map(move |per_1000_s| Scenario {
             nodes,
             demand_per_s,
             per_1000_s,
-            way: Way::Few,
-            trouble,
+            strategy: Strategy::Production,
+            fault,
             seed,
         })
     })
 }
 
 #[gtest]
-fn no_window_holds_more_than_a_quarter_over_the_limit_and_one_request_for_each_node_that_uses_it() {
-    for play in plays(Trouble::None, 1) {
-        let seen = Fleet::new(play).run();
-        let bound = play.per_s() * 4.25 + play.per_s().ceil();
-        let most = seen.most_in_window(NAMED_US + S, LIFTED_US);
-        expect_that!(most as f64, le(bound), "{play:?}");
-        let used = seen.got_between(NAMED_US + S, LIFTED_US);
-        expect_that!(used, ge(10), "it is used at all: {play:?}");
+fn windows_exceed_the_limit_by_at_most_a_quarter_and_one_request_per_sending_node() {
+    for scenario in scenarios(Fault::None, 1) {
+        let results = Fleet::new(scenario).run();
+        let bound = scenario.per_s() * 4.25 + scenario.per_s().ceil();
+        let max = results.max_in_window(LIMIT_START_US + S, LIMIT_END_US);
+        expect_that!(max as f64, le(bound), "{scenario:?}");
+        let used = results.received_between(LIMIT_START_US + S, LIMIT_END_US);
+        expect_that!(used, ge(10), "limit is not used: {scenario:?}");
     }
 }
 
 #[gtest]
-fn no_cut_and_no_restart_breaks_the_rule_once_the_limit_binds() {
-    for play in plays(Trouble::CutAndRestarts, 2) {
-        let seen = Fleet::new(play).run();
-        // A node that starts again knows of no limit until the upstream or another node tells it.
-        let before = seen.most_in_window(NAMED_US + BINDS_AFTER_US, 25 * S);
-        let after = seen.most_in_window(26 * S, LIFTED_US);
-        expect_that!(before.max(after), le(allowed(play.per_s())), "{play:?}");
+fn limit_is_respected_during_partition_and_restarts() {
+    for scenario in scenarios(Fault::PartitionAndRestarts, 2) {
+        let results = Fleet::new(scenario).run();
+        // A restarted node does not know the limit until the upstream or another node reports it.
+        let before = results.max_in_window(LIMIT_START_US + ENFORCED_AFTER_US, 25 * S);
+        let after = results.max_in_window(26 * S, LIMIT_END_US);
+        expect_that!(before.max(after), le(requests_max(scenario.per_s())), "{scenario:?}");
     }
 }
 
-/// Where nodes have several requests a second for the upstream; with fewer it takes longer (docs/CAPACITY.md).
+/// Applies if each node has several requests per second for the upstream; with fewer it takes longer
+/// (docs/CAPACITY.md).
 #[gtest]
-fn the_end_of_a_limit_is_known_to_all_within_two_seconds() {
-    let is_busy = |play: &Play| play.demand_per_s > 4.0;
-    for play in plays(Trouble::None, 3).filter(is_busy) {
-        let seen = Fleet::new(play).run();
-        expect_that!(seen.lifted_after_us, all!(gt(0), le(2 * S)), "{play:?}");
+fn lifted_limit_is_known_to_all_nodes_within_two_seconds() {
+    let is_busy = |scenario: &Scenario| scenario.demand_per_s > 4.0;
+    for scenario in scenarios(Fault::None, 3).filter(is_busy) {
+        let results = Fleet::new(scenario).run();
+        expect_that!(results.lift_delay_us, all!(gt(0), le(2 * S)), "{scenario:?}");
     }
 }
 
-/// Prints the ways weighed; for an engineer, with `POINTVANE_LIMIT_WAYS=1`.
+/// Prints a comparison of the strategies; runs only if `POINTVANE_LIMIT_WAYS` is set.
 #[gtest]
-fn ways_by_hand() {
+fn compare_strategies() {
     if env::var_os("POINTVANE_LIMIT_WAYS").is_none() {
         return;
     }
-    for trouble in [Trouble::None, Trouble::CutAndRestarts, Trouble::DemandInOneDataCentre] {
-        for play in plays(trouble, 4) {
-            let of_way = |way| {
-                let seen = Fleet::new(Play { way, ..play }).run();
-                let most = seen.most_in_window(NAMED_US + BINDS_AFTER_US, LIFTED_US) as f64;
-                let seconds = ((LIFTED_US - NAMED_US - S) / S) as f64;
-                let used = seen.got_between(NAMED_US + S, LIFTED_US) as f64 / seconds / play.per_s();
-                let first = seen.got_between(NAMED_US, NAMED_US + S);
-                let datagrams = seen.datagrams as f64 / play.nodes as f64 / 40.0;
-                let lifted_s = seen.lifted_after_us as f64 / 1e6;
-                format!("{:.2} {used:.2} {first} {datagrams:.2} {lifted_s:.1}", most / play.per_s() / 4.0)
+    for fault in [Fault::None, Fault::PartitionAndRestarts, Fault::DemandInOneDataCentre] {
+        for scenario in scenarios(fault, 4) {
+            let summarize = |strategy| {
+                let results = Fleet::new(Scenario { strategy, ..scenario }).run();
+                let max = results.max_in_window(LIMIT_START_US + ENFORCED_AFTER_US, LIMIT_END_US) as f64;
+                let seconds = ((LIMIT_END_US - LIMIT_START_US - S) / S) as f64;
+                let used = results.received_between(LIMIT_START_US + S, LIMIT_END_US) as f64
+                    / seconds
+                    / scenario.per_s();
+                let first = results.received_between(LIMIT_START_US, LIMIT_START_US + S);
+                let datagrams = results.datagrams as f64 / scenario.nodes as f64 / 40.0;
+                let lift_delay_s = results.lift_delay_us as f64 / 1e6;
+                format!(
+                    "{:.2} {used:.2} {first} {datagrams:.2} {lift_delay_s:.1}",
+                    max / scenario.per_s() / 4.0
+                )
             };
-            let ways = [Way::EqualParts, Way::Draws, Way::Few].map(of_way);
-            println!("{trouble:?} {} {} | {}", play.nodes, play.per_s(), ways.join(" | "));
+            let summaries = [Strategy::EqualShares, Strategy::Random, Strategy::Production].map(summarize);
+            println!("{fault:?} {} {} | {}", scenario.nodes, scenario.per_s(), summaries.join(" | "));
         }
     }
 }
--- a/crates/pointvane-dispatch/tests/notices_fleet.rs
+++ b/crates/pointvane-dispatch/tests/notices_fleet.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet whose nodes were all asked for the same pause at the same moment: what each upstream gets when it ends, and how soon the
-//! service is back in use.
+//! Simulation of a fleet whose nodes all received the same back-off at the same time: load on each upstream when it
+//! ends, and time until the service has recovered.
 
 mod common;
 
@@ -13,120 +13,122 @@
 
 const MS: u64 = 1_000;
 const SERVICE: &str = "dispatch";
-/// Time that all upstreams ask all nodes for, from the beginning on.
-const ASKED_MS: u64 = 3_000;
-/// Time after its end that is played.
-const PLAYED_MS: u64 = 3_000;
-/// The time in which arrivals are counted.
-const FIRST_MS: u64 = 100;
-/// Callers that wait for the end of the pause, as a part of those of a second.
+/// Back-off that all upstreams request from all nodes, from the start of the simulation.
+const BACK_OFF_MS: u64 = 3_000;
+/// Simulated time after the end of the back-off.
+const SIMULATED_MS: u64 = 3_000;
+/// Length of the periods in which arrivals are counted.
+const FIRST_PERIOD_MS: u64 = 100;
+/// Number of callers that wait for the end of the back-off, as a fraction of the requests per second.
 const WAITING_SHARE: f64 = 0.5;
-/// Time over which these come back after the time that they were told.
-const RETURN_MS: u64 = 100;
+/// Period after their retry time over which these callers return.
+const RETURN_SPREAD_MS: u64 = 100;
 
-/// Time after the pause within which the service is to be in use again.
-const IN_USE_WITHIN_MS: u64 = 1_000;
+/// Time after the back-off within which the service must have recovered.
+const RECOVERY_MAX_MS: u64 = 1_000;
 const SEEDS: u64 = 2;
 
-/// How nodes return.
+/// When nodes start sending again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Return {
-    /// All at the end of the time asked for, with any number of requests.
+enum ReturnStrategy {
+    /// All at the end of the requested time, without a limit on the number of requests.
     AtOnce,
-    /// As the pool decides.
+    /// As decided by the pool.
     Spread,
 }
 
-/// A service before a fleet.
+/// A service and the fleet that uses it.
 #[derive(Clone, Copy, Debug)]
-struct Size {
+struct Scenario {
     nodes: usize,
     upstreams: usize,
     slots: u32,
-    work_ms: u64,
+    service_time_ms: u64,
     requests_per_s: f64,
 }
 
-/// Those of the users' deployments with 18, 121 and 472 nodes, and the one to design for: 1,800 nodes, 300 services, 250,000 requests a second.
-const SIZES: [Size; 4] = [
-    Size { nodes: 18, upstreams: 30, slots: 6, work_ms: 240, requests_per_s: 158.0 },
-    Size { nodes: 121, upstreams: 271, slots: 4, work_ms: 330, requests_per_s: 584.0 },
-    Size { nodes: 472, upstreams: 1_080, slots: 6, work_ms: 240, requests_per_s: 4_000.0 },
-    Size { nodes: 1_800, upstreams: 6, slots: 6, work_ms: 25, requests_per_s: 833.0 },
+/// Deployments with 18, 121 and 472 nodes, and one service of the design target: 1,800 nodes, 300
+/// services, 250,000 requests per second.
+const SCENARIOS: [Scenario; 4] = [
+    Scenario { nodes: 18, upstreams: 30, slots: 6, service_time_ms: 240, requests_per_s: 158.0 },
+    Scenario { nodes: 121, upstreams: 271, slots: 4, service_time_ms: 330, requests_per_s: 584.0 },
+    Scenario { nodes: 472, upstreams: 1_080, slots: 6, service_time_ms: 240, requests_per_s: 4_000.0 },
+    Scenario { nodes: 1_800, upstreams: 6, slots: 6, service_time_ms: 25, requests_per_s: 833.0 },
 ];
 
-/// What came of a run.
+/// Results of a simulation.
 #[derive(Debug, Default)]
-struct Played {
-    /// Most requests that one upstream got in the first [`FIRST_MS`] after the pause.
-    most_at_first: usize,
-    /// Requests that found no free slot.
-    turned_away: usize,
+struct Results {
+    /// Maximum number of requests that one upstream received in the first [`FIRST_PERIOD_MS`] after the back-off.
+    max_first_period_requests: usize,
+    /// Number of requests that found no free slot.
+    rejected: usize,
     served: usize,
-    asked: usize,
-    /// Time after the pause until upstreams run nine tenths of what comes in a tenth of a second, in milliseconds.
-    in_use_after_ms: Option<u64>,
+    offered: usize,
+    /// Time after the back-off until upstreams run at least nine tenths of the requests of one period, in milliseconds.
+    recovered_after_ms: Option<u64>,
 }
 
 struct Fleet {
-    size: Size,
-    way: Return,
+    scenario: Scenario,
+    strategy: ReturnStrategy,
     pools: Vec<(Pool, Vec<UpstreamKey>)>,
-    /// Requests that run at each upstream: when they end, and whose they are.
+    /// Requests running on each upstream: end time in milliseconds, and sending node.
     running: Vec<Vec<(u64, usize)>>,
 }
 
 impl Fleet {
-    fn new(size: Size, way: Return, seed: u64) -> Self {
+    fn new(scenario: Scenario, strategy: ReturnStrategy, seed: u64) -> Self {
         let node = |number: usize| {
             let mut pool = Pool::new(RankingOptions::default(), "one".into(), seed * 10_000 + number as u64);
-            pool.share_warm_up(WarmUpBound { overshoot: 1.0, slack: 0.0 }, size.nodes, 0);
-            for index in 0..size.upstreams {
+            pool.share_warm_up(WarmUpBound { overshoot: 1.0, slack: 0.0 }, scenario.nodes, 0);
+            for index in 0..scenario.upstreams {
                 let id = format!("u{index:05}");
-                pool.upsert(UpstreamRecord { slots: size.slots, ..record(&id, 1) }, 0);
+                pool.upsert(UpstreamRecord { slots: scenario.slots, ..record(&id, 1) }, 0);
             }
             let wanted = Wanted {
                 priority: 0,
                 tried: &[],
                 body_bytes: 0,
-                count: size.upstreams,
+                count: scenario.upstreams,
                 regions: &AllowedRegions::ANY,
             };
             let mut keys = pool.candidates(&SERVICE.into(), &wanted, 0);
             keys.sort();
-            // Only those of the node's subset are used; they are told apart by their identities.
+            // A node uses only the upstreams of its subset; they are matched to indices by their identities.
             keys.iter().for_each(|key| {
-                if way == Return::Spread {
-                    pool.record_back_off(*key, ASKED_MS * MS, 0);
+                if strategy == ReturnStrategy::Spread {
+                    pool.record_back_off(*key, BACK_OFF_MS * MS, 0);
                 }
             });
             (pool, keys)
         };
-        let pools = (0..size.nodes).map(node).collect();
-        Self { size, way, pools, running: vec![Vec::new(); size.upstreams] }
+        let pools = (0..scenario.nodes).map(node).collect();
+        Self { scenario, strategy, pools, running: vec![Vec::new(); scenario.upstreams] }
     }
 
-    fn end_work(&mut self, now_ms: u64) {
+    fn end_requests(&mut self, now_ms: u64) {
         for (index, running) in self.running.iter_mut().enumerate() {
             let ended: Vec<usize> =
                 running.iter().filter(|(at_ms, _)| *at_ms <= now_ms).map(|(_, node)| *node).collect();
             running.retain(|(at_ms, _)| *at_ms > now_ms);
-            let left = running.len() as u32;
+            let remaining = running.len() as u32;
             for node in ended {
                 let (pool, keys) = &mut self.pools[node];
                 let Some(key) = keys.iter().copied().find(|key| upstream(pool, *key) == Some(index)) else {
                     continue;
                 };
                 pool.record_return(key, true, now_ms * MS);
-                pool.record_load(key, load(left, self.size.slots), now_ms * MS);
+                pool.record_load(key, load(remaining, self.scenario.slots), now_ms * MS);
             }
         }
     }
 
-    /// A request comes to a node; the upstream that got it, and whether that runs it.
+    /// Handles a request that arrives at a node. Returns the index of the upstream that received it, and whether that
+    /// upstream runs it.
     fn request(&mut self, node: usize, now_ms: u64) -> Option<(usize, bool)> {
         let (pool, _) = &mut self.pools[node];
-        if self.way == Return::AtOnce && now_ms < ASKED_MS {
+        if self.strategy == ReturnStrategy::AtOnce && now_ms < BACK_OFF_MS {
             return None;
         }
         let wanted =
@@ -134,64 +136,64 @@
         let key = *pool.candidates(&SERVICE.into(), &wanted, now_ms * MS).first()?;
         pool.begin_send(key, now_ms * MS).ok()?;
         let index = upstream(pool, key)?;
-        let runs = self.running[index].len() < self.size.slots as usize;
+        let runs = self.running[index].len() < self.scenario.slots as usize;
         pool.get_mut(key)?.request_started();
         pool.get_mut(key)?.request_finished();
         if runs {
-            self.running[index].push((now_ms + self.size.work_ms, node));
+            self.running[index].push((now_ms + self.scenario.service_time_ms, node));
         } else {
             pool.record_return(key, false, now_ms * MS);
-            pool.record_load(key, load(self.size.slots, self.size.slots), now_ms * MS);
+            pool.record_load(key, load(self.scenario.slots, self.scenario.slots), now_ms * MS);
         }
         Some((index, runs))
     }
 
-    fn play(&mut self, seed: u64) -> Played {
+    fn run(&mut self, seed: u64) -> Results {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut played = Played::default();
-        let mut at_first = vec![0; self.size.upstreams];
-        let waiting = (self.size.requests_per_s * WAITING_SHARE) as usize;
-        // Each waits at a node until that one's first upstream is back, and a little longer.
-        let mut returns_ms: Vec<(u64, usize)> = (0..waiting)
+        let mut results = Results::default();
+        let mut first_period_requests = vec![0; self.scenario.upstreams];
+        let waiting_callers = (self.scenario.requests_per_s * WAITING_SHARE) as usize;
+        // Each caller waits until its node's first upstream returns, plus a random delay.
+        let mut returns_ms: Vec<(u64, usize)> = (0..waiting_callers)
             .map(|_| {
-                let node = rng.random_range(0..self.size.nodes);
+                let node = rng.random_range(0..self.scenario.nodes);
                 let withheld = self.pools[node].0.withheld(&SERVICE.into(), 0, 0);
-                let back_in_ms = withheld.and_then(|withheld| withheld.back_in_ms).unwrap_or(ASKED_MS);
-                (back_in_ms + rng.random_range(0..RETURN_MS), node)
+                let back_in_ms = withheld.and_then(|withheld| withheld.back_in_ms).unwrap_or(BACK_OFF_MS);
+                (back_in_ms + rng.random_range(0..RETURN_SPREAD_MS), node)
             })
             .collect();
         returns_ms.sort_unstable();
-        let (mut window, mut debt) = ((0, 0), 0.0);
-        for now_ms in ASKED_MS..ASKED_MS + PLAYED_MS {
-            self.end_work(now_ms);
-            debt += self.size.requests_per_s / 1e3;
+        let (mut period, mut pending_arrivals) = ((0, 0), 0.0);
+        for now_ms in BACK_OFF_MS..BACK_OFF_MS + SIMULATED_MS {
+            self.end_requests(now_ms);
+            pending_arrivals += self.scenario.requests_per_s / 1e3;
             let mut nodes: Vec<usize> = Vec::new();
-            while debt >= 1.0 {
-                debt -= 1.0;
-                nodes.extend((0..self.size.nodes).choose(&mut rng));
+            while pending_arrivals >= 1.0 {
+                pending_arrivals -= 1.0;
+                nodes.extend((0..self.scenario.nodes).choose(&mut rng));
             }
             let due = returns_ms.partition_point(|(at_ms, _)| *at_ms <= now_ms);
-            // Callers that come back may come to any node.
-            nodes.extend(returns_ms.drain(..due).filter_map(|_| (0..self.size.nodes).choose(&mut rng)));
+            // Returning callers may use any node.
+            nodes.extend(returns_ms.drain(..due).filter_map(|_| (0..self.scenario.nodes).choose(&mut rng)));
             for node in nodes {
-                played.asked += 1;
-                window.0 += 1;
+                results.offered += 1;
+                period.0 += 1;
                 if let Some((index, runs)) = self.request(node, now_ms) {
-                    at_first[index] += usize::from(now_ms < ASKED_MS + FIRST_MS);
-                    played.served += usize::from(runs);
-                    played.turned_away += usize::from(!runs);
-                    window.1 += usize::from(runs);
+                    first_period_requests[index] += usize::from(now_ms < BACK_OFF_MS + FIRST_PERIOD_MS);
+                    results.served += usize::from(runs);
+                    results.rejected += usize::from(!runs);
+                    period.1 += usize::from(runs);
                 }
             }
-            if (now_ms - ASKED_MS) % FIRST_MS == FIRST_MS - 1 {
-                if window.1 * 10 >= window.0 * 9 && played.in_use_after_ms.is_none() {
-                    played.in_use_after_ms = Some(now_ms + 1 - ASKED_MS);
+            if (now_ms - BACK_OFF_MS) % FIRST_PERIOD_MS == FIRST_PERIOD_MS - 1 {
+                if period.1 * 10 >= period.0 * 9 && results.recovered_after_ms.is_none() {
+                    results.recovered_after_ms = Some(now_ms + 1 - BACK_OFF_MS);
                 }
-                window = (0, 0);
+                period = (0, 0);
             }
         }
-        played.most_at_first = at_first.into_iter().max().unwrap_or_default();
-        played
+        results.max_first_period_requests = first_period_requests.into_iter().max().unwrap_or_default();
+        results
     }
 }
 
@@ -203,30 +205,41 @@
     UpstreamLoad { running, waiting: 0, slots, slowdown_percent: 100 }
 }
 
-/// What an upstream bears in the first moments: what its slots run in that time, and as many that wait.
-fn borne(size: &Size) -> usize {
-    let runs = (u64::from(size.slots) * FIRST_MS).div_ceil(size.work_ms) as usize;
-    runs.max(size.slots as usize) + size.slots as usize
+/// Number of requests that an upstream can take in the first period: those that its slots run, and as many waiting as it
+/// has slots.
+fn capacity(scenario: &Scenario) -> usize {
+    let runs = (u64::from(scenario.slots) * FIRST_PERIOD_MS).div_ceil(scenario.service_time_ms) as usize;
+    runs.max(scenario.slots as usize) + scenario.slots as usize
 }
 
 #[gtest]
-fn an_upstream_gets_no_more_than_it_bears_when_its_pause_ends_and_is_soon_in_use() {
-    for size in SIZES {
+fn spread_return_stays_within_capacity_and_service_recovers_soon() {
+    for scenario in SCENARIOS {
         for seed in 0..SEEDS {
-            let played = Fleet::new(size, Return::Spread, seed).play(seed);
-            println!("{} nodes, seed {seed}: {played:?}, bears {}", size.nodes, borne(&size));
-            expect_that!(played.most_at_first, le(borne(&size)), "{} nodes, seed {seed}", size.nodes);
-            let in_use = played.in_use_after_ms;
-            expect_that!(in_use, some(le(IN_USE_WITHIN_MS)), "{} nodes, seed {seed}", size.nodes);
+            let results = Fleet::new(scenario, ReturnStrategy::Spread, seed).run(seed);
+            println!("{} nodes, seed {seed}: {results:?}, capacity {}", scenario.nodes, capacity(&scenario));
+            expect_that!(
+                results.max_first_period_requests,
+                le(capacity(&scenario)),
+                "{} nodes, seed {seed}",
+                scenario.nodes
+            );
+            let recovered_after_ms = results.recovered_after_ms;
+            expect_that!(
+                recovered_after_ms,
+                some(le(RECOVERY_MAX_MS)),
+                "{} nodes, seed {seed}",
+                scenario.nodes
+            );
         }
     }
 }
 
-/// What the spread is for: without it the largest fleet sends three times what is borne.
+/// Shows the need for spreading: without it, the largest fleet sends three times the capacity.
 #[gtest]
-fn a_large_fleet_that_returns_at_once_sends_more_than_is_borne() {
-    let size = SIZES[3];
-    let played = Fleet::new(size, Return::AtOnce, 0).play(0);
-    println!("{} nodes at once: {played:?}, bears {}", size.nodes, borne(&size));
-    expect_that!(played.most_at_first, gt(borne(&size)));
+fn simultaneous_return_of_a_large_fleet_exceeds_capacity() {
+    let scenario = SCENARIOS[3];
+    let results = Fleet::new(scenario, ReturnStrategy::AtOnce, 0).run(0);
+    println!("{} nodes at once: {results:?}, capacity {}", scenario.nodes, capacity(&scenario));
+    expect_that!(results.max_first_period_requests, gt(capacity(&scenario)));
 }
