--- a/crates/pointvane-dispatch/src/replica/reader.rs
+++ b/crates/pointvane-dispatch/src/replica/reader.rs
@@ -1,16 +1,20 @@
-//! Reading of the platform: when it is called, when another node is queried instead, and what becomes of the answers.
+//! The platform reader: decides when a node calls the platform, when it queries a peer instead, and how it
+//! processes the responses.
 //!
-//! A few nodes read for all. Watchers hold a watch open and relay each answer to all nodes. A relay is also a lease: as long
-//! as the platform's answer behind it is young, a node need not read for itself. Without a watcher standbys read, and
-//! without these the others in turns (`turns.rs`); whoever of them is answered watches for all until a watcher is heard. What
-//! a relay has no room for, such as a configuration, nodes query from each other in an order that spreads the load
-//! (`query_order.rs`), and from the platform if that fails. Everything is read anew when the platform no longer holds the
-//! changes that are missing, or an answer cannot be trusted. How a node starts: `startup.rs`.
+//! A few nodes read on behalf of the fleet. Watchers keep a long poll open and relay each response to all
+//! nodes. A relay also renews a lease: while the platform response behind it is younger than `lease_ms`, the
+//! receiver does not read for itself. Without a watcher the standbys read; without these, the followers do,
+//! one after another (`turns.rs`). The first of them to get a response acts as a watcher until it receives
+//! relays from another reader. Nodes fetch what does not fit in a relay, such as a configuration, from each
+//! other in an order that spreads the load (`query_order.rs`), and from the platform if that fails. A node
+//! reads a full snapshot when the platform no longer holds the changes it lacks, or when a response cannot be
+//! trusted. Startup is described in `startup.rs`.
 //!
-//! The state machine takes the time and the answers and returns the next call; `pointvane-node` carries it out. Calls to the
-//! platform and queries of peers run beside each other: [`PlatformReader::next`] and [`PlatformReader::next_query`]. Inputs that
-//! are old: a relay older than the lease is ignored; an outage of the platform longer than `outage_ms` opens a grace
-//! period for entries that may only have expired. Tests: `tests/reader.rs`, `tests/relays.rs`, `tests/states.rs`,
+//! The state machine is given the time and the responses and returns the next call; it does no I/O.
+//! `pointvane-node` carries the calls out. Calls to the platform and queries of peers run concurrently:
+//! [`PlatformReader::next`] and [`PlatformReader::next_query`]. Outdated inputs: a relay older than the lease
+//! is ignored; after a platform outage longer than `outage_ms`, upstreams whose entries may merely have
+//! expired get a grace period. Tests: `tests/reader.rs`, `tests/relays.rs`, `tests/states.rs`,
 //! `tests/lapses.rs`.
 
 mod answers;
@@ -39,38 +43,40 @@
     rand::{SeedableRng, rngs::SmallRng},
     snapshot::SnapshotRead,
     startup::Startup,
-    turns::Turns,
+    turns::PollSchedule,
 };
 
-/// The platform is known to hold more than this node: what is missing, and how it is fetched.
+/// The platform is known to hold more than this node: what is missing, and when to fetch it from where.
 #[derive(Clone, Copy, Debug)]
 struct CatchUp {
     wanted: ReadMark,
-    /// When peers are queried.
+    /// When the next query of a peer is due, in microseconds of the monotonic clock.
     query_at_us: u64,
-    /// Queries that are left.
+    /// Queries left in this round.
     peer_queries: u32,
-    /// When the platform is called, whatever peers do, unless they have brought it.
+    /// When the platform is called unless peers have supplied the data by then, in microseconds of the
+    /// monotonic clock.
     platform_at_us: u64,
-    /// Whether a peer answered that it knows no more.
+    /// Whether a peer responded that it knows nothing newer.
     declined: bool,
 }
 
-/// A call to the platform that is under way.
+/// A call to the platform in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlatformCall {
-    /// A watch that waits for changes; nothing of an answer has come. It may hang.
+    /// A long poll that waits for changes; no part of the response has arrived. The connection may hang.
     Waiting,
-    /// An answer is on its way, or about to be. It is not given up for news: whoever begins a large answer anew at each piece of
-    /// news never gets it. Peers are queried beside it.
+    /// A response is arriving or expected at once. The call is not aborted when newer changes are announced:
+    /// restarting a large transfer on every announcement would never complete it. Peers are queried in
+    /// parallel.
     Fetching {
-        /// Since when, in microseconds of the steady clock.
+        /// Start of the fetch, in microseconds of the monotonic clock.
         since_us: u64,
     },
 }
 
 impl PlatformCall {
-    /// Since when an answer is fetched, in microseconds of the steady clock; none while the call waits.
+    /// Start of the fetch, in microseconds of the monotonic clock; `None` while the call waits for changes.
     const fn fetching_since_us(self) -> Option<u64> {
         match self {
             Self::Waiting => None,
@@ -79,13 +85,13 @@
     }
 }
 
-/// The state of a node's reading.
+/// State machine of a node's reads of the platform.
 #[derive(Debug)]
 pub struct PlatformReader {
     options: ReaderOptions,
     role: ReaderRole,
     mark: ReadMark,
-    /// A read of everything that is under way or due.
+    /// The snapshot read in progress or due.
     snapshot: Option<SnapshotRead>,
     start_queries: u32,
     startup: Startup,
@@ -94,29 +100,30 @@
     failures: u32,
     freshness: Freshness,
     behind_since_us: Option<u64>,
-    /// The call to the platform under way.
+    /// The call to the platform in progress.
     call: Option<PlatformCall>,
-    /// Size of the last read of everything, in bytes.
+    /// Size of the last snapshot, in bytes.
     state_bytes: usize,
-    /// Size of the answer that came last, in bytes.
+    /// Size of the last response, in bytes.
     answer_bytes: usize,
-    /// Revision that the last watch was made after.
-    watched_after: u64,
-    /// Whether the watch under way hangs: it would have brought what peers have read.
-    hung: bool,
-    /// Whether the call under way is made because no other reader was heard.
-    no_reader_heard: bool,
-    /// Whether this node watches in the watchers' place: no reader was heard, and the platform answered.
-    stands_in: bool,
-    /// When the platform last answered this node itself, in microseconds of the steady clock.
+    /// Revision after which the last watch asked for changes.
+    watch_revision: u64,
+    /// Whether the watch in progress hangs: a working one would have returned what peers have already read.
+    watch_hung: bool,
+    /// Whether the last poll was made because no relay renewed the lease.
+    lease_expired: bool,
+    /// Whether this node acts as a watcher though its role is another: its lease expired and the platform
+    /// responded.
+    is_acting_watcher: bool,
+    /// When the platform last responded to this node itself, in microseconds of the monotonic clock.
     answered_at_us: Option<u64>,
-    turns: Turns,
-    log: RelayLog,
+    poll_schedule: PollSchedule,
+    relay_log: RelayLog,
     rng: SmallRng,
 }
 
 impl PlatformReader {
-    /// A node that has read nothing.
+    /// Creates a reader that has read nothing; `seed` seeds its jitter.
     pub fn new(options: ReaderOptions, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         Self {
@@ -134,92 +141,97 @@
             call: None,
             state_bytes: 0,
             answer_bytes: 0,
-            watched_after: 0,
-            hung: false,
-            no_reader_heard: false,
-            stands_in: false,
+            watch_revision: 0,
+            watch_hung: false,
+            lease_expired: false,
+            is_acting_watcher: false,
             answered_at_us: None,
-            turns: Turns::new(&mut rng),
-            log: RelayLog::default(),
+            poll_schedule: PollSchedule::new(&mut rng),
+            relay_log: RelayLog::default(),
             rng,
         }
     }
 
-    /// How far the platform is read; zeros before the first read.
+    /// The revision and configuration version read so far; zeros before the first read.
     pub fn mark(&self) -> ReadMark {
         self.mark
     }
 
-    /// End of the grace period within which an upstream whose entry is gone may come back; past if there is none.
+    /// End of the grace period for upstreams whose entries were removed, in microseconds of the monotonic
+    /// clock; in the past if there is none.
     pub fn grace_until_us(&self) -> u64 {
         self.freshness.grace_until_us()
     }
 
-    /// Whether the last calls to the platform failed.
+    /// Whether the last call to the platform failed.
     pub fn is_unreachable(&self) -> bool {
         self.failures > 0
     }
 
-    /// Age of the platform's last answer, in milliseconds; none before the first.
+    /// Age of the platform's last confirmation, received directly or by a relay, in milliseconds; `None`
+    /// before the first.
     pub fn age_ms(&self, now_us: u64) -> Option<u64> {
         self.freshness.age_ms(now_us)
     }
 
-    /// What this node relays to all others now, if the platform's answer behind it is current.
+    /// The relay to send to all other nodes; `None` unless the platform response behind it is younger than
+    /// the lease.
     ///
-    /// The age is that of the platform's answer to this node itself: what it knows from other readers, these relay.
+    /// The age is that of the last platform response to this node itself: other readers relay their own.
     pub fn relay(&self, now_us: u64) -> Option<Relay> {
-        let answered_at_us = self.answered_at_us.filter(|_| self.trusts_what_it_knows())?;
+        let answered_at_us = self.answered_at_us.filter(|_| self.is_state_valid())?;
         let age_ms = now_us.saturating_sub(answered_at_us) / US_PER_MS;
-        (age_ms < self.options.lease_ms).then(|| self.log.relay(self.mark, age_ms))
+        (age_ms < self.options.lease_ms).then(|| self.relay_log.relay(self.mark, age_ms))
     }
 
-    /// Whether this node watches the platform for all, by its role or since no reader was heard.
+    /// Whether this node watches the platform for the fleet, by its role or as an acting watcher.
     pub fn watches(&self) -> bool {
-        self.role == ReaderRole::Watcher || self.stands_in
+        self.role == ReaderRole::Watcher || self.is_acting_watcher
     }
 
-    /// Whether this node watches in the watchers' place.
+    /// Whether this node acts as a watcher though its role is another.
     pub fn stands_in(&self) -> bool {
-        self.stands_in
+        self.is_acting_watcher
     }
 
-    /// Whether this node relays right after an answer of the platform: it watches, or no other reader was heard.
+    /// Whether this node relays each platform response at once: it watches, or its lease expired.
     pub fn broadcasts(&self) -> bool {
-        self.watches() || self.no_reader_heard
+        self.watches() || self.lease_expired
     }
 
-    /// Age of the platform's last answer, if that is current and what is known is right up to its revision.
+    /// Age of the local state in milliseconds; `None` if it is older than the lease or not correct up to its
+    /// revision.
     ///
-    /// A reader that reads everything anew still knows what it knew before, so it goes on answering queries.
+    /// A node that is reading a new snapshot usually still has a correct older state, so it keeps answering
+    /// queries.
     fn current_age_ms(&self, now_us: u64) -> Option<u64> {
         let age_ms = self.freshness.age_ms(now_us)?;
-        (self.trusts_what_it_knows() && age_ms < self.options.lease_ms).then_some(age_ms)
+        (self.is_state_valid() && age_ms < self.options.lease_ms).then_some(age_ms)
     }
 
-    /// Whether what is known is right up to the revision that was read.
-    fn trusts_what_it_knows(&self) -> bool {
-        self.snapshot.as_ref().is_none_or(SnapshotRead::keeps_what_is_known)
+    /// Whether the local state is correct up to the revision that was read.
+    fn is_state_valid(&self) -> bool {
+        self.snapshot.as_ref().is_none_or(SnapshotRead::keeps_state_valid)
     }
 
-    /// Takes note that the platform's answer to the call under way has begun to come.
+    /// Records the first byte of the platform's response to the call in progress.
     pub fn answer_began(&mut self, now_us: u64) {
         if self.call == Some(PlatformCall::Waiting) {
             self.call = Some(PlatformCall::Fetching { since_us: now_us });
         }
     }
 
-    /// Takes the size of the answer that has come, before what it holds.
+    /// Records the size of a received response; called before the response is processed.
     pub fn answer_came(&mut self, size_bytes: usize) {
         self.answer_bytes = size_bytes;
     }
 
-    /// Whether the pause or the watch under way is to end early: there is something else to do now, or the watch hangs.
+    /// Whether to end the current pause or watch early, because a catch-up is due or the watch hangs.
     pub fn is_to_be_interrupted(&self) -> bool {
-        self.hung || (self.catch_up.is_some() && self.call.is_none())
+        self.watch_hung || (self.catch_up.is_some() && self.call.is_none())
     }
 
-    /// Whether the platform is known to hold more than this node, so that peers are to be queried.
+    /// Whether the platform is known to hold more than this node, so that peers have to be queried.
     pub fn is_behind(&self) -> bool {
         self.catch_up.is_some()
     }
--- a/crates/pointvane-dispatch/src/replica/reader/answers.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/answers.rs
@@ -1,20 +1,20 @@
-//! What becomes of the platform's answers and failures.
+//! Processing of platform responses and failed calls.
 
 use {
     super::{
         CallFailure, CallReason, PlatformCall, PlatformReader, ReaderOptions, ReaderRole,
-        snapshot::{PageRead, SnapshotRead, StateRead},
+        snapshot::{CompletedSnapshot, PageRead, SnapshotRead},
     },
     crate::replica::relay::ChangesHold,
     pointvane_core::{Change, ChangePage, US_PER_MS},
     rand::Rng,
 };
 
-/// Doublings of the pause after a failure that are computed; the longest pause binds long before.
+/// Bounds the exponent of the retry backoff; the configured maximum pause takes effect long before.
 const RETRY_DOUBLINGS_MAX: u32 = 8;
 
 impl PlatformReader {
-    /// Takes a page of a read of everything; `known` are the entries that this node knows. Gives what is to be applied.
+    /// Processes a page of a snapshot; `known` are the entries this node holds. Returns the changes to apply.
     pub fn page_read(
         &mut self,
         page: ChangePage,
@@ -23,60 +23,62 @@
     ) -> Vec<Change> {
         let began_us = self.call.and_then(PlatformCall::fetching_since_us).unwrap_or(now_us);
         self.call_succeeded(now_us);
-        // A page that comes though none is due begins a new read.
+        // A page that arrives though no snapshot is due starts a new one.
         let mut snapshot = self.snapshot.take().unwrap_or_else(|| SnapshotRead::new(CallReason::Start));
-        let PageRead { changes, complete } = snapshot.take(page, self.answer_bytes, known);
+        let PageRead { changes, complete } = snapshot.add_page(page, self.answer_bytes, known);
         self.raise_version(&changes);
         match complete {
             None => self.snapshot = Some(snapshot),
-            Some(state) => self.state_read(state, began_us, now_us),
+            Some(state) => self.snapshot_completed(state, began_us, now_us),
         }
         changes
     }
 
-    /// Everything was read, by a call whose answer began to come at a time.
-    fn state_read(&mut self, state: StateRead, began_us: u64, now_us: u64) {
+    /// Processes a complete snapshot; `began_us` is when the response to its last call started to arrive.
+    fn snapshot_completed(&mut self, state: CompletedSnapshot, began_us: u64, now_us: u64) {
         self.state_bytes = state.size_bytes;
         let first = self.mark.revision == 0;
         if first || state.revision <= self.mark.revision {
-            self.restart_at(state.revision);
+            self.reset_to(state.revision);
         } else {
             self.advance_to(state.revision, &state.changes, ChangesHold::Difference);
         }
         if first {
-            self.pause_after_start(now_us);
+            self.pause_after_first_state(now_us);
         } else {
-            self.pause_between_answers(began_us, now_us);
+            self.pause_between_responses(began_us, now_us);
         }
     }
 
-    /// What is published while an answer comes makes the next one longer: the time that it took counts as pause.
-    fn pause_between_answers(&mut self, began_us: u64, now_us: u64) {
+    /// Pauses between two responses, counted from the start of the first. Changes published during a transfer
+    /// make the next response longer, so the time of the transfer counts towards the pause.
+    fn pause_between_responses(&mut self, began_us: u64, now_us: u64) {
         self.pause_until_us = now_us.max(began_us + self.options.settle_ms * US_PER_MS);
     }
 
-    /// By the end of this pause a node that has just started has met its peers, and knows whether it is a watcher.
-    pub(super) fn pause_after_start(&mut self, now_us: u64) {
+    /// Pauses after the first state. By its end a node that has just started has met its peers and knows its
+    /// role.
+    pub(super) fn pause_after_first_state(&mut self, now_us: u64) {
         self.pause_until_us = now_us + 2 * self.options.settle_ms * US_PER_MS;
     }
 
-    /// Takes the changes of a watch. Gives what is to be applied.
+    /// Processes the response to a watch. Returns the changes to apply.
     pub fn watch_answered(&mut self, page: ChangePage, now_us: u64) -> Vec<Change> {
         let began_us = self.call.and_then(PlatformCall::fetching_since_us).unwrap_or(now_us);
         self.call_succeeded(now_us);
-        if page.revision < self.watched_after {
-            // The platform went back: only a read of everything can be trusted.
+        if page.revision < self.watch_revision {
+            // The platform returned an older revision than before: only a snapshot can be trusted.
             self.snapshot = Some(SnapshotRead::new(CallReason::WentBack));
             return Vec::new();
         }
         if page.revision < self.mark.revision {
-            // A relay has brought more meanwhile.
+            // A relay has already delivered a newer revision.
             return Vec::new();
         }
         self.raise_version(&page.changes);
         self.advance_to(page.revision, &page.changes, ChangesHold::All);
         if !page.changes.is_empty() && self.watches() {
-            self.pause_between_answers(began_us, now_us);
+            self.pause_between_responses(began_us, now_us);
         }
         page.changes
     }
@@ -86,9 +88,9 @@
         self.failures = 0;
         self.pause_until_us = now_us;
         self.answered_at_us = Some(now_us);
-        self.stands_in |= self.no_reader_heard && self.role != ReaderRole::Watcher;
+        self.is_acting_watcher |= self.lease_expired && self.role != ReaderRole::Watcher;
         self.freshness.confirm(now_us, &self.options);
-        self.turns.draw(&mut self.rng);
+        self.poll_schedule.draw(&mut self.rng);
     }
 
     fn raise_version(&mut self, changes: &[Change]) {
@@ -99,17 +101,17 @@
         self.mark.version = versions.fold(self.mark.version, u64::max);
     }
 
-    /// Everything up to a revision is known, by these changes.
+    /// Moves the state forward to a revision by the given changes.
     pub(super) fn advance_to(&mut self, revision: u64, changes: &[Change], hold: ChangesHold) {
         if revision > self.mark.revision {
-            self.log.add(revision, changes, hold);
+            self.relay_log.add(revision, changes, hold);
         }
         self.set_revision(revision.max(self.mark.revision));
     }
 
-    /// Everything up to a revision is known, but not by which changes.
-    pub(super) fn restart_at(&mut self, revision: u64) {
-        self.log.restart(revision);
+    /// Sets the revision when the individual changes that led to it are not known.
+    pub(super) fn reset_to(&mut self, revision: u64) {
+        self.relay_log.restart(revision);
         self.set_revision(revision);
     }
 
@@ -119,38 +121,40 @@
         self.catch_up = self.catch_up.filter(|catch_up| !self.mark.covers(catch_up.wanted));
     }
 
-    /// Takes the failure of a call to the platform.
+    /// Processes a failed call to the platform.
     pub fn call_failed(&mut self, failure: CallFailure, now_us: u64) {
         self.call = None;
-        self.stands_in &= failure != CallFailure::Unavailable;
-        // A page of a read of everything that is too long is a failure like others: reading it again at once would not end.
-        let answered = match failure {
+        self.is_acting_watcher &= failure != CallFailure::Unavailable;
+        // An oversized snapshot page counts as an ordinary failure: reading it again at once would loop
+        // forever.
+        let platform_responded = match failure {
             CallFailure::HistoryGone => true,
             CallFailure::LongerThanState => self.snapshot.is_none(),
             _ => false,
         };
-        // After an answer that broke off as well: a read of everything holds each value once, the changes each version of it.
-        self.snapshot = self.reason_to_read_everything(failure).map(SnapshotRead::new);
-        if failure == CallFailure::HistoryGone && !self.no_reader_heard && !self.watches() {
-            // Readers are heard, so a peer has it.
+        // Also after a truncated response: a snapshot contains each value once, the change history every
+        // version of it.
+        self.snapshot = self.snapshot_reason_after(failure).map(SnapshotRead::new);
+        if failure == CallFailure::HistoryGone && !self.lease_expired && !self.watches() {
+            // Relays still arrive, so a peer has the state.
             self.start_queries = self.start_queries.max(1);
         }
         if self.mark.revision == 0 {
-            // Peers may have read it meanwhile, or the platform may answer them and not this node.
+            // Peers may have read it meanwhile, or the platform may respond to them and not to this node.
             self.start_queries = self.start_queries.max(1);
         }
-        if answered {
-            // The platform lives; everything is read at once.
+        if platform_responded {
+            // The platform is reachable: read the snapshot at once.
             self.pause_until_us = now_us;
             return;
         }
-        let longest_ms = self.retry_pause_max_ms();
+        let pause_max_ms = self.retry_pause_max_ms();
         self.failures = self.failures.saturating_add(1);
-        self.pause_until_us = now_us + self.rng.random_range(longest_ms / 2..=longest_ms) * US_PER_MS;
+        self.pause_until_us = now_us + self.rng.random_range(pause_max_ms / 2..=pause_max_ms) * US_PER_MS;
     }
 
-    /// Why everything is read after a failed call, if it is: a read of everything that was under way begins anew.
-    fn reason_to_read_everything(&self, failure: CallFailure) -> Option<CallReason> {
+    /// Reason for the snapshot to read after a failed call, if any; a snapshot in progress starts again.
+    fn snapshot_reason_after(&self, failure: CallFailure) -> Option<CallReason> {
         match (failure, &self.snapshot) {
             (_, Some(snapshot)) => Some(snapshot.reason()),
             (CallFailure::Unavailable, None) => None,
@@ -161,7 +165,8 @@
         }
     }
 
-    /// The first pause is short, but for followers. After that watchers stay quick, and others don't, since their calls add up.
+    /// Longest pause before the next call after a failure, in milliseconds. The first pause is short except
+    /// for followers. Later ones stay short for watchers only: the calls of the many other nodes add up.
     fn retry_pause_max_ms(&self) -> u64 {
         let ReaderOptions { retry_ms, retry_max_ms, retry_others_max_ms, .. } = self.options;
         match (self.role, self.failures) {
@@ -170,7 +175,7 @@
             }
             (ReaderRole::Standby, 0) => retry_ms,
             (ReaderRole::Standby, _) => retry_others_max_ms,
-            (ReaderRole::Follower, _) => self.turns.retry_pause_max_ms(&self.options),
+            (ReaderRole::Follower, _) => self.poll_schedule.retry_pause_max_ms(&self.options),
         }
     }
 }
--- a/crates/pointvane-dispatch/src/replica/reader/call.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/call.rs
@@ -1,111 +1,112 @@
-//! What the reader asks its caller to do, and how that can fail.
+//! Calls and queries that the reader requests from its caller, and the ways in which a call can fail.
 
 use {crate::replica::state_query::StateRequest, pointvane_core::ReadFreshness};
 
-/// The next thing to do.
+/// The next action of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReaderCall {
-    /// Query another node for what it knows.
+    /// Query another node for its state.
     QueryPeer(PeerQuery),
-    /// Read everything from the platform.
+    /// Read one page of a snapshot from the platform.
     Snapshot {
-        /// Why.
+        /// Reason for the call.
         reason: CallReason,
-        /// Where the page begins; none for the first.
+        /// Start of the page; `None` for the first.
         next_page: Option<String>,
-        /// How new the page must be.
+        /// Required freshness of the page.
         freshness: ReadFreshness,
-        /// Time to the answer's first byte after which the call has failed, in milliseconds.
+        /// Timeout for the first byte of the response, in milliseconds.
         timeout_ms: u64,
     },
     /// Wait for changes at the platform.
     Watch {
-        /// Why.
+        /// Reason for the call.
         reason: CallReason,
-        /// The revision that is known.
+        /// The revision read so far.
         after: u64,
         /// Longest wait for a change, in milliseconds.
         wait_ms: u64,
-        /// Time to the answer's first byte after which the call has failed, in milliseconds.
+        /// Timeout for the first byte of the response, in milliseconds; includes the wait.
         timeout_ms: u64,
-        /// Size of an answer's body beyond which it is not read, in bytes.
+        /// Largest response body that is read, in bytes.
         answer_bytes_max: usize,
     },
-    /// Do nothing until then.
+    /// Do nothing for now.
     Wait {
-        /// When to ask again what to do, in microseconds of the steady clock.
+        /// When to ask for the next call, in microseconds of the monotonic clock.
         until_us: u64,
     },
 }
 
-/// What to query peers for, beside calls to the platform.
+/// The next query of a peer, made concurrently with calls to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReaderQuery {
     /// Query a peer.
     Peer(PeerQuery),
-    /// Nothing until then.
+    /// Send no query for now.
     Wait {
-        /// When to ask again, in microseconds of the steady clock.
+        /// When to ask for the next query, in microseconds of the monotonic clock.
         until_us: u64,
     },
 }
 
-/// A query of another node for what it knows.
+/// A query of another node for its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerQuery {
-    /// Which node.
+    /// The node to query.
     pub target: QueryTarget,
-    /// What is known already.
+    /// The state this node already has.
     pub request: StateRequest,
-    /// Time for a connection after which the query has failed, in milliseconds.
+    /// Timeout for the connection, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Time to the answer's first byte after which the query has failed, in milliseconds.
+    /// Timeout for the first byte of the response, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// Which node is queried.
+/// Selects the node to query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryTarget {
-    /// Any that is known.
+    /// Any known node.
     Any,
-    /// One that queries before this one, see [`crate::earlier_peer`].
+    /// A node that queries before this one, see [`crate::earlier_peer`].
     Earlier {
-        /// The revision in whose order they query.
+        /// The revision whose query order applies.
         revision: u64,
     },
-    /// The one that has read furthest of those whose relays are received.
+    /// The node with the highest revision among those whose relays arrive.
     Broadcaster,
 }
 
-/// Why the platform is called.
+/// Reason for a call to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallReason {
-    /// Nothing was read yet.
+    /// Nothing has been read yet.
     Start,
-    /// This node watches for all.
+    /// This node watches for the fleet.
     Watching,
-    /// No other reader was heard in time.
+    /// No relay renewed the lease in time.
     LeaseOver,
-    /// Peers did not bring what this node lacks.
+    /// Peers did not supply what this node lacks.
     CatchUp,
-    /// The call before failed.
+    /// The previous call failed.
     Retry,
-    /// The platform no longer holds the changes that are missing.
+    /// The platform no longer holds the changes this node lacks.
     HistoryGone,
-    /// The platform answered with an older revision than before.
+    /// The platform returned an older revision than before.
     WentBack,
-    /// An answer broke off, was too long or could not be understood.
+    /// A response was truncated, too long or malformed.
     BadAnswer,
-    /// What changed of the configuration could not be applied.
+    /// A configuration delta could not be applied.
     ConfigurationMissing,
 }
 
 impl CallReason {
-    /// How new a read of everything for this reason must be.
+    /// Required freshness of a snapshot read for this reason.
     ///
-    /// A node that has just started may begin with what was published seconds ago: what followed comes with its first watch or
-    /// by the other nodes, within two seconds, before it counts as in touch. Platforms serve such reads at a fraction of the cost: after
-    /// a loss of power of all nodes most of their calls are of this kind.
+    /// A node that has just started may begin with data that is a few seconds old: the changes since follow
+    /// with its first watch or from other nodes within two seconds, before the node counts as connected
+    /// again. Platforms serve stale reads at a fraction of the cost, and after a power loss of the whole
+    /// fleet most of their calls are of this kind.
     pub const fn freshness(self) -> ReadFreshness {
         match self {
             Self::Start => ReadFreshness::MayBeStale,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The value of the label `reason` in metrics and events.
+    /// Value of the label `reason` in metrics and events.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Start => "start",
@@ -129,28 +130,29 @@
     }
 }
 
-/// Why a call to the platform gave nothing.
+/// Why a call to the platform failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// No connection, no answer in time, or a refusal.
+    /// Connection failed, response timed out, or the call was refused.
     Unavailable,
-    /// An answer broke off, or did not come whole in time: it was too much for the link.
+    /// The response was truncated or did not arrive completely in time, because it exceeded the capacity of
+    /// the link.
     BrokenOff,
-    /// The answer is longer than a read of everything would be: it holds several versions of the same items.
+    /// The response is longer than a snapshot would be, since it contains several versions of the same items.
     LongerThanState,
-    /// The platform no longer holds the changes since the revision that is known.
+    /// The platform no longer holds the changes since the requested revision.
     HistoryGone,
-    /// The answer cannot be understood.
+    /// The response is malformed.
     Malformed,
 }
 
-/// What a node does for the others' reading.
+/// Role of a node in reading the platform for the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReaderRole {
-    /// Watches the platform and relays what it reads.
+    /// Watches the platform and relays its responses.
     Watcher,
-    /// Reads the platform and relays once no watcher is heard.
+    /// Reads the platform and relays when no relays from a watcher arrive.
     Standby,
-    /// Reads for itself only when neither is heard.
+    /// Reads for itself only when relays arrive from neither watchers nor standbys.
     Follower,
 }
--- a/crates/pointvane-dispatch/src/replica/reader/nodes.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/nodes.rs
@@ -1,4 +1,4 @@
-//! What becomes of other nodes' relays, and what this node's role is among them.
+//! Processing of relays from other nodes, and this node's role among them.
 
 use {
     super::{CatchUp, PlatformCall, PlatformReader, ReaderRole},
@@ -9,80 +9,83 @@
     pointvane_core::{Change, US_PER_MS},
 };
 
-/// The changes that bind a node at once, and hold whatever else it still lacks: upstreams that drain, which is final, and evacuations,
-/// which have revisions of their own.
+/// Returns the changes that take effect at once, whatever else this node still lacks: draining upstreams,
+/// since draining is final, and evacuations, which have their own revisions.
 ///
-/// Upstreams that joined or are gone come with the state that is queried for, since an older state may still come between.
-fn binding_at_once(changes: Vec<Change>) -> Vec<Change> {
-    let binds = |change: &Change| match change {
+/// Upstreams that joined or were removed come with the queried state, since an older state may still arrive
+/// before it.
+fn immediately_effective(changes: Vec<Change>) -> Vec<Change> {
+    let is_immediate = |change: &Change| match change {
         Change::Upstream(record) => record.draining,
         Change::Evacuation(_) => true,
         Change::UpstreamGone(_) | Change::Configuration(_) | Change::ConfigurationDeltas(_) => false,
     };
-    changes.into_iter().filter(binds).collect()
+    changes.into_iter().filter(is_immediate).collect()
 }
 
 impl PlatformReader {
-    /// Takes another node's relay; gives what is to be applied.
+    /// Processes a relay from another node. Returns the changes to apply.
     ///
-    /// `position` is this node's in the order in which nodes query each other, from 0 for the first to 1.
+    /// `position` is the position of this node in the query order, from 0 (first) to 1.
     pub fn receive_relay(&mut self, relay: Relay, position: f64, now_us: u64) -> Vec<Change> {
-        let older = relay.mark.revision < self.mark.revision || relay.age_ms >= self.options.lease_ms;
-        if self.must_read_everything() || older {
+        let is_outdated = relay.mark.revision < self.mark.revision || relay.age_ms >= self.options.lease_ms;
+        if self.requires_snapshot() || is_outdated {
             return Vec::new();
         }
-        self.platform_lives(now_us);
-        let gap = relay.mark.revision > self.mark.revision && relay.since > self.mark.revision;
+        self.platform_answered_peer(now_us);
+        let has_gap = relay.mark.revision > self.mark.revision && relay.since > self.mark.revision;
         let answered_at_us = now_us.saturating_sub(relay.age_ms * US_PER_MS);
-        if gap || relay.mark.version > self.mark.version {
-            self.freshness.answered_peer(answered_at_us, &self.options);
-            if !self.reads_soon(now_us) {
+        if has_gap || relay.mark.version > self.mark.version {
+            self.freshness.platform_responded_to_peer(answered_at_us, &self.options);
+            if !self.will_read_soon(now_us) {
                 self.begin_catch_up(relay.mark, position, now_us);
             }
-            return binding_at_once(relay.changes);
+            return immediately_effective(relay.changes);
         }
-        // What led to a read of everything came from the relay.
+        // The relay supplied what the snapshot was due for.
         self.snapshot = None;
-        self.no_reader_heard = false;
+        self.lease_expired = false;
         self.freshness.confirm(answered_at_us, &self.options);
         self.advance_to(relay.mark.revision, &relay.changes, ChangesHold::All);
         relay.changes
     }
 
-    /// Whether only a read of everything is of use: none has succeeded yet, or one is under way, or what is known cannot be trusted.
-    fn must_read_everything(&self) -> bool {
+    /// Whether only a snapshot from the platform can be used: none has completed yet, one is in progress, or
+    /// the local state is invalid.
+    fn requires_snapshot(&self) -> bool {
         self.snapshot.as_ref().is_some_and(|snapshot| {
-            self.watches() || !snapshot.is_unbegun() || !snapshot.keeps_what_is_known()
+            self.watches() || !snapshot.has_no_pages() || !snapshot.keeps_state_valid()
         })
     }
 
-    /// The platform answers another reader: a node that does not watch takes that for the end of its failures.
-    fn platform_lives(&mut self, now_us: u64) {
+    /// Records that the platform responded to another reader. A node that does not watch stops its own retry
+    /// backoff.
+    fn platform_answered_peer(&mut self, now_us: u64) {
         if !self.watches() && self.failures > 0 {
             self.failures = 0;
             self.pause_until_us = self.pause_until_us.min(now_us);
         }
     }
 
-    /// Takes note of another reader's relay, by an answer of the platform of an age in milliseconds. If that reader precedes this node, this
-    /// one no longer watches in the watchers' place.
+    /// Records a relay from another reader; `age_ms` is the age of the platform response behind it, in
+    /// milliseconds. If that reader precedes this node, this one stops acting as a watcher.
     pub fn hear_reader(&mut self, age_ms: u64, precedes: bool) {
-        self.stands_in &= !precedes || age_ms >= self.options.lease_ms;
+        self.is_acting_watcher &= !precedes || age_ms >= self.options.lease_ms;
     }
 
-    /// Takes the count of nodes that are reached, this one included.
+    /// Sets the number of reachable nodes, including this one.
     pub fn set_reached_nodes(&mut self, nodes: usize) {
-        self.turns.set_nodes(nodes);
+        self.poll_schedule.set_reachable_nodes(nodes);
     }
 
-    /// Whether this node's own calls to the platform soon bring what others have read: a watcher that the platform answers pauses
-    /// for a moment at most, unless an answer takes long to come.
-    fn reads_soon(&self, now_us: u64) -> bool {
-        let slow = self
+    /// Whether this node's own calls will soon return what others have read. A watcher that the platform
+    /// responds to pauses only briefly, unless a response takes long to transfer.
+    fn will_read_soon(&self, now_us: u64) -> bool {
+        let is_slow = self
             .call
             .and_then(PlatformCall::fetching_since_us)
             .is_some_and(|since_us| now_us.saturating_sub(since_us) >= self.options.behind_ms * US_PER_MS);
-        self.watches() && self.failures == 0 && !slow
+        self.watches() && self.failures == 0 && !is_slow
     }
 
     fn begin_catch_up(&mut self, wanted: ReadMark, position: f64, now_us: u64) {
@@ -99,14 +102,14 @@
         });
     }
 
-    /// Takes this node's role, and the latest revision that any peer has read.
+    /// Sets the role of this node and the latest revision read by any peer.
     pub fn compare_with_peers(&mut self, role: ReaderRole, latest: u64, now_us: u64) {
         self.role = role;
         self.freshness.tick(now_us);
         let ahead = latest > self.mark.revision;
         self.freshness.set_peers_ahead(ahead, now_us);
-        let busy = self.snapshot.is_some() || now_us < self.pause_until_us || self.catch_up.is_some();
-        if !ahead || busy {
+        let is_busy = self.snapshot.is_some() || now_us < self.pause_until_us || self.catch_up.is_some();
+        if !ahead || is_busy {
             self.behind_since_us = None;
             return;
         }
@@ -114,7 +117,7 @@
         if now_us.saturating_sub(since_us) >= self.options.behind_ms * US_PER_MS {
             self.behind_since_us = None;
             if self.call == Some(PlatformCall::Waiting) {
-                self.hung = true;
+                self.watch_hung = true;
                 self.failures = self.failures.saturating_add(1);
             }
             self.begin_catch_up(ReadMark { revision: latest, version: 0 }, 0.0, now_us);
--- a/crates/pointvane-dispatch/src/replica/reader/queries.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/queries.rs
@@ -1,4 +1,4 @@
-//! What this node answers to other nodes' queries, and what becomes of their answers to its own.
+//! Responses to queries from other nodes, and processing of their responses to this node.
 
 use {
     super::{CallReason, PlatformCall, PlatformReader, snapshot::SnapshotRead},
@@ -11,51 +11,54 @@
 };
 
 impl PlatformReader {
-    /// Age of what this node knows, in milliseconds; none if that is no more than a query says, or not current.
+    /// Age of the local state, in milliseconds; `None` if it is not newer than the requested one, or not
+    /// current.
     pub fn newer_age_ms(&self, request: &StateRequest, now_us: u64) -> Option<u64> {
         let known = request.known;
         let is_newer = self.mark.revision >= known.revision && self.mark != known;
         self.current_age_ms(now_us).filter(|_| is_newer)
     }
 
-    /// Answers another node's query from what this one knows, if that is more and current.
+    /// Answers a query from another node; `None` if the local state is not newer, or not current.
     pub fn answer(
         &self,
         request: &StateRequest,
-        known_here: &impl KnownState,
+        local_state: &impl KnownState,
         now_us: u64,
     ) -> Option<StateReply> {
         let age_ms = self.newer_age_ms(request, now_us)?;
         let known = request.known;
-        let steps = if known.revision == 0 { None } else { self.log.changes_since(known.revision) };
-        let whole = steps.is_none();
-        let changes = steps.unwrap_or_else(|| known_here.entries());
-        let older = known.version < self.mark.version;
-        let configuration = older.then(|| ConfigurationUpdate::new(known.version, known_here));
+        let recent_changes =
+            if known.revision == 0 { None } else { self.relay_log.changes_since(known.revision) };
+        let whole = recent_changes.is_none();
+        let changes = recent_changes.unwrap_or_else(|| local_state.entries());
+        let is_outdated = known.version < self.mark.version;
+        let configuration = is_outdated.then(|| ConfigurationUpdate::new(known.version, local_state));
         Some(StateReply::new(self.mark, age_ms, whole, changes, configuration))
     }
 
-    /// Whether the answer to a query would hold all entries.
+    /// Whether the response to a query would contain all entries.
     pub fn answers_whole(&self, request: &StateRequest) -> bool {
-        request.known.revision == 0 || !self.log.reaches(request.known.revision)
+        request.known.revision == 0 || !self.relay_log.reaches(request.known.revision)
     }
 
-    /// Whether this node knows nothing yet and has begun to read the platform, so that it will know everything soon.
+    /// Whether this node has no state yet but is reading it from the platform.
     pub fn is_reading(&self) -> bool {
-        let begun = self.snapshot.as_ref().is_some_and(|snapshot| !snapshot.is_unbegun());
+        let begun = self.snapshot.as_ref().is_some_and(|snapshot| !snapshot.has_no_pages());
         self.mark.revision == 0 && (begun || matches!(self.call, Some(PlatformCall::Fetching { .. })))
     }
 
-    /// Takes another node's answer; `known` are the entries that this node knows. Gives what is to be applied.
+    /// Processes another node's response; `known` are the entries this node holds. Returns the changes to
+    /// apply.
     pub fn receive_state(
         &mut self,
         reply: StateReply,
         known: impl Iterator<Item = Change>,
         now_us: u64,
     ) -> Vec<Change> {
-        let snapshot_begun = self.snapshot.as_ref().is_some_and(SnapshotRead::excludes_states);
-        let useful = reply.age_ms < self.options.lease_ms && reply.leads_from(self.mark);
-        if snapshot_begun || !useful || (self.mark.revision == 0 && !reply.whole) {
+        let excluded_by_snapshot = self.snapshot.as_ref().is_some_and(SnapshotRead::excludes_peer_states);
+        let is_usable = reply.age_ms < self.options.lease_ms && reply.leads_from(self.mark);
+        if excluded_by_snapshot || !is_usable || (self.mark.revision == 0 && !reply.whole) {
             self.query_failed(now_us);
             return Vec::new();
         }
@@ -64,63 +67,65 @@
         let changes = reply.into_changes(known);
         self.mark.version = self.mark.version.max(mark.version);
         if self.snapshot.take().is_some() {
-            self.pause_after_start(now_us);
+            self.pause_after_first_state(now_us);
         }
         match whole {
-            true => self.restart_at(mark.revision),
+            true => self.reset_to(mark.revision),
             false => self.advance_to(mark.revision, &changes, ChangesHold::Difference),
         }
-        self.query_again(now_us);
+        self.begin_query_round(now_us);
         changes
     }
 
-    /// Takes note that the configuration in force is an older one than was read: a delta could not be applied. Everything is read
-    /// anew.
+    /// Records that a configuration delta could not be applied, so the version in force is older than the one
+    /// read. A snapshot is read.
     pub fn configuration_missing(&mut self, version_in_force: u64) {
         self.mark.version = version_in_force;
         self.snapshot = Some(SnapshotRead::new(CallReason::ConfigurationMissing));
     }
 
-    /// Takes note that a peer answered a query and knows no more, or has no time. After the last one that is no reason to call the
-    /// platform at once: peers are queried again, and the platform is called when this node's turn comes.
+    /// Records that a peer responded but knows nothing newer, or is overloaded. After the last query of a
+    /// round the platform is not called at once: another round begins, and the platform is called when the
+    /// turn of this node comes.
     pub fn query_declined(&mut self, now_us: u64) {
         let Some(catch_up) = self.catch_up.as_mut().filter(|catch_up| catch_up.peer_queries == 0) else {
-            self.startup.reached_one();
-            return self.pause_start(now_us);
+            self.startup.record_peer_response();
+            return self.pause_between_start_queries(now_us);
         };
         if !mem::replace(&mut catch_up.declined, true) {
-            catch_up.platform_at_us += self.turns.declined_wait_ms(&self.options) * US_PER_MS;
+            catch_up.platform_at_us += self.poll_schedule.declined_wait_ms(&self.options) * US_PER_MS;
         }
-        self.query_again(now_us);
+        self.begin_query_round(now_us);
     }
 
-    /// Takes note that a peer answered which is reading the platform: what it reads is waited for.
+    /// Records that a peer responded that it is reading the platform; this node waits for its state.
     pub fn query_found_reader(&mut self, now_us: u64) {
-        self.startup.reads_elsewhere(now_us);
+        self.startup.record_peer_reading(now_us);
         self.query_declined(now_us);
     }
 
-    /// Begins another round of queries, if the last one is over and what is missing has not come.
-    fn query_again(&mut self, now_us: u64) {
+    /// Begins another round of queries, if the last round is over and the data is still missing.
+    fn begin_query_round(&mut self, now_us: u64) {
         if let Some(catch_up) = self.catch_up.as_mut().filter(|catch_up| catch_up.peer_queries == 0) {
             catch_up.peer_queries = self.options.peer_queries;
             catch_up.query_at_us = now_us + self.options.declined_pause_ms * US_PER_MS;
         }
     }
 
-    /// Takes note that a query failed. After a start there is a pause before the next query; after the last one the platform is called.
+    /// Records a failed query. After a start the next query follows after a pause; after the last query of a
+    /// round the platform is called.
     pub fn query_failed(&mut self, now_us: u64) {
         if let Some(catch_up) = self.catch_up.as_mut().filter(|catch_up| catch_up.peer_queries == 0) {
             catch_up.platform_at_us = now_us;
         }
-        if !self.turns.reaches_others() {
-            self.startup.reached_none();
+        if !self.poll_schedule.has_reachable_peers() {
+            self.startup.record_unreached_round();
         }
-        self.pause_start(now_us);
+        self.pause_between_start_queries(now_us);
     }
 
-    /// Between two queries after a start there is a pause. Pauses after failed calls are no shorter for a query.
-    fn pause_start(&mut self, now_us: u64) {
+    /// Pauses between two queries after a start. Must not shorten pauses after failed calls.
+    fn pause_between_start_queries(&mut self, now_us: u64) {
         if self.mark.revision == 0 {
             self.pause_until_us = now_us + self.options.start_pause_ms * US_PER_MS;
         }
--- a/crates/pointvane-dispatch/src/replica/reader/snapshot.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/snapshot.rs
@@ -1,4 +1,4 @@
-//! A read of everything, page by page.
+//! Paged reads of the complete platform state.
 
 use {
     super::CallReason,
@@ -6,43 +6,43 @@
     std::collections::{HashMap, HashSet},
 };
 
-/// A read of everything that is under way.
+/// A snapshot read in progress.
 #[derive(Clone, Debug)]
 pub struct SnapshotRead {
-    /// Why everything is read.
+    /// Reason for the read.
     reason: CallReason,
     next_page: Option<String>,
-    /// The lowest revision of a page: others may be newer, so the changes since this one are watched again.
+    /// The lowest revision of any page. Other pages may be newer, so the watch continues from this one.
     revision: Option<u64>,
-    /// The entries that were listed so far.
+    /// The entries listed so far.
     listed: HashSet<EntryKey>,
     size_bytes: usize,
-    /// What differed from what was known before.
+    /// Differences from the previous state so far.
     changes: Vec<Change>,
 }
 
-/// What a page gives.
+/// Result of processing one page.
 #[derive(Debug)]
 pub struct PageRead {
-    /// What is to be applied.
+    /// The changes to apply.
     pub changes: Vec<Change>,
-    /// The whole read, once the last page has come.
-    pub complete: Option<StateRead>,
+    /// The complete snapshot, after the last page.
+    pub complete: Option<CompletedSnapshot>,
 }
 
-/// A whole read of everything.
+/// A complete snapshot.
 #[derive(Debug)]
-pub struct StateRead {
-    /// The revision up to which everything is known.
+pub struct CompletedSnapshot {
+    /// The revision up to which the state is complete.
     pub revision: u64,
-    /// Size of its pages, in bytes.
+    /// Total size of its pages, in bytes.
     pub size_bytes: usize,
-    /// What differed from what was known before.
+    /// Differences from the previous state.
     pub changes: Vec<Change>,
 }
 
 impl SnapshotRead {
-    /// A read of which no page has come.
+    /// Creates a read that has received no page.
     pub fn new(reason: CallReason) -> Self {
         Self {
             reason,
@@ -54,35 +54,37 @@
         }
     }
 
-    /// Why everything is read.
+    /// Reason for the read.
     pub fn reason(&self) -> CallReason {
         self.reason
     }
 
-    /// Whether what this node knows stays true up to its revision until the read is done.
-    pub fn keeps_what_is_known(&self) -> bool {
+    /// Whether the local state stays correct up to its revision while the read is in progress.
+    pub fn keeps_state_valid(&self) -> bool {
         !matches!(self.reason, CallReason::Start | CallReason::WentBack)
     }
 
-    /// Where the next page begins; none for the first.
+    /// Start of the next page; `None` for the first.
     pub fn next_page(&self) -> Option<String> {
         self.next_page.clone()
     }
 
-    /// Whether no page has come yet.
-    pub fn is_unbegun(&self) -> bool {
+    /// Whether no page has been received yet.
+    pub fn has_no_pages(&self) -> bool {
         self.revision.is_none()
     }
 
-    /// Whether another node's state is of no use, since this read has begun. After a start it replaces what was read.
-    pub fn excludes_states(&self) -> bool {
-        !self.is_unbegun() && self.reason != CallReason::Start
+    /// Whether another node's state must be discarded because this read is in progress. After a start such a
+    /// state replaces the pages read so far.
+    pub fn excludes_peer_states(&self) -> bool {
+        !self.has_no_pages() && self.reason != CallReason::Start
     }
 
-    /// Takes a page that came in so many bytes; `known` are the entries that were known before. After the last page those not listed are gone.
+    /// Processes a page of `size_bytes`; `known` are the entries held before. After the last page, entries
+    /// that no page listed are removed.
     ///
-    /// Entries that are listed as they were known are left out: peers that follow this node need only what changed.
-    pub fn take(
+    /// Unchanged entries are left out of the result: peers that follow this node need only the differences.
+    pub fn add_page(
         &mut self,
         page: ChangePage,
         size_bytes: usize,
@@ -108,7 +110,7 @@
         let mut changes: Vec<Change> = page.changes.iter().filter(|change| is_new(change)).cloned().collect();
         changes.extend(gone);
         self.changes.extend(changes.iter().cloned());
-        let complete = self.next_page.is_none().then(|| StateRead {
+        let complete = self.next_page.is_none().then(|| CompletedSnapshot {
             revision,
             size_bytes: self.size_bytes,
             changes: std::mem::take(&mut self.changes),
--- a/crates/pointvane-dispatch/src/replica/reader/turns.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/turns.rs
@@ -1,71 +1,75 @@
-//! Turns: when nodes that are no readers call the platform, so that the calls of the whole fleet have a bound that does not grow with it.
+//! Scheduling of platform calls by nodes that are neither watchers nor standbys, so that the call rate of the
+//! whole fleet has a bound independent of its size.
 //!
-//! Each follower draws its wait from a span that grows with the nodes that it reaches. So whatever befalls the platform or its
-//! readers, followers make about as many calls a second in a fleet of hundreds as in one of dozens, and whoever is answered first
-//! reads on for all. A node that reaches no other counts as a fleet of one, and calls by itself.
-//! Input: the count of reached nodes, from the membership; while nothing was received for a while it is 1.
-//! Tests: `tests/large_fleets.rs`.
+//! Each follower draws its wait from a period proportional to the number of nodes it reaches. Whatever
+//! happens to the platform or its readers, followers make about as many calls per second in a fleet of
+//! hundreds as in one of dozens, and the first that gets a response reads for all. A node that reaches no
+//! other counts as a fleet of one.
+//!
+//! Input: the number of reachable nodes, from the membership; 1 while nothing has been received for some
+//! time. Tests: `tests/large_fleets.rs`.
 
 use {super::ReaderOptions, rand::Rng};
 
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
-/// Mean pause after a failed call as a share of the longest: it is drawn from the upper half.
-const MEAN_PAUSE: f64 = 0.75;
+/// Mean pause after a failed call relative to the longest: pauses are drawn from the upper half.
+const MEAN_PAUSE_SHARE: f64 = 0.75;
 
-/// This node's turn among those that share the calls.
+/// The turn of this node among those that share the calls.
 #[derive(Clone, Copy, Debug)]
-pub struct Turns {
-    /// Nodes that are reached, this one included.
-    nodes: usize,
-    /// This node's position in the order of turns, from 0 for the first to 1; drawn anew after each answer.
+pub struct PollSchedule {
+    /// Number of reachable nodes, including this one.
+    reachable_nodes: usize,
+    /// Position in the order of turns, from 0 (first) to 1; redrawn after each platform response.
     position: f64,
 }
 
-impl Turns {
-    /// The turn of a node that reaches no other.
+impl PollSchedule {
+    /// Creates the schedule of a node that reaches no other.
     pub fn new(rng: &mut impl Rng) -> Self {
-        Self { nodes: 1, position: rng.random() }
+        Self { reachable_nodes: 1, position: rng.random() }
     }
 
-    /// Takes the count of nodes that are reached, this one included.
-    pub fn set_nodes(&mut self, nodes: usize) {
-        self.nodes = nodes.max(1);
+    /// Sets the number of reachable nodes, including this one.
+    pub fn set_reachable_nodes(&mut self, nodes: usize) {
+        self.reachable_nodes = nodes.max(1);
     }
 
-    /// Whether any other node is reached.
-    pub fn reaches_others(&self) -> bool {
-        self.nodes > 1
+    /// Whether any other node is reachable.
+    pub fn has_reachable_peers(&self) -> bool {
+        self.reachable_nodes > 1
     }
 
-    /// Draws another position.
+    /// Draws a new position.
     pub fn draw(&mut self, rng: &mut impl Rng) {
         self.position = rng.random();
     }
 
-    /// How long a follower waits for a reader's relay after its lease, in milliseconds.
+    /// How long a follower waits for a relay after its lease has expired, in milliseconds.
     ///
-    /// The first turns follow each other soon, since the platform may answer some nodes though it answers no reader. If it answers none
-    /// of them, it answers nobody.
+    /// The initial polls follow each other closely, since the platform may respond to some nodes even if it
+    /// responds to no reader. If it responds to none of them, it is most likely down for all.
     pub fn follower_wait_ms(&self, options: &ReaderOptions) -> u64 {
-        let before = self.turns_before();
-        let first = before.min(options.first_turns);
-        let wait_s = first / options.first_turns_per_s + (before - first) / options.turns_per_s;
+        let before = self.polls_before();
+        let initial = before.min(options.initial_polls);
+        let wait_s = initial / options.initial_polls_per_s + (before - initial) / options.polls_per_s;
         options.follower_wait_min_ms + (wait_s * MS_PER_S) as u64
     }
 
-    /// Longest pause of a follower after a failed call, in milliseconds. Pauses are drawn from its upper half.
+    /// Longest pause of a follower after a failed call, in milliseconds. Pauses are drawn from its upper
+    /// half.
     pub fn retry_pause_max_ms(&self, options: &ReaderOptions) -> u64 {
-        let mean_ms = self.nodes as f64 / options.turns_per_s * MS_PER_S;
-        options.retry_others_max_ms.max((mean_ms / MEAN_PAUSE) as u64)
+        let mean_ms = self.reachable_nodes as f64 / options.polls_per_s * MS_PER_S;
+        options.retry_others_max_ms.max((mean_ms / MEAN_PAUSE_SHARE) as u64)
     }
 
-    /// How much longer a node leaves the platform alone whom peers answer, though they know no more, in milliseconds.
+    /// Additional delay before a node calls the platform after peers responded that they know nothing newer,
+    /// in milliseconds.
     pub fn declined_wait_ms(&self, options: &ReaderOptions) -> u64 {
-        (self.turns_before() / options.first_turns_per_s * MS_PER_S) as u64
+        (self.polls_before() / options.initial_polls_per_s * MS_PER_S) as u64
     }
 
-    fn turns_before(&self) -> f64 {
-        self.position * self.nodes as f64
+    fn polls_before(&self) -> f64 {
+        self.position * self.reachable_nodes as f64
     }
 }
