--- a/crates/pointvane-dispatch/src/replica/reader/next_call.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/next_call.rs
@@ -126,7 +126,7 @@
     /// catch-up independent of how much was published meanwhile. In a burst of ten 550 KB versions a second
     /// at 10 Mbit/s, a change took up to 9.4 s to reach a node without this bound and less than 2.0 s with it
     /// (simulated fleet, 20 seeds,
-    /// `a_burst_of_large_configurations_is_followed_though_several_are_published_while_one_is_sent`).
+    /// `a_burst_of_large_configurations_is_followed_when_several_are_published_during_a_transfer`).
     fn answer_bytes_max(&self) -> usize {
         self.state_bytes.max(self.options.answer_bytes_min)
     }
--- a/crates/pointvane-dispatch/tests/fleet/mod.rs
+++ b/crates/pointvane-dispatch/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of readers before a platform that changes, falls silent and comes back; all time is given.
+//! Simulation of a fleet of readers and a platform with changes and outages, in simulated time.
 #![allow(dead_code)]
 
 use {
@@ -14,71 +14,72 @@
 
 pub const MS: u64 = 1_000;
 pub const STEP_MS: u64 = 20;
-/// Time that a peer's revision takes to reach another node by gossip in these runs.
+/// Time in which gossip spreads the revision of a node to the others, in milliseconds.
 const GOSSIP_MS: u64 = 400;
-/// Time between two relays of a sentinel.
+/// Interval between two relays of a watcher, in milliseconds.
 const RELAY_MS: u64 = 300;
-/// Time that a peer takes to answer.
+/// Response time of a peer, in milliseconds.
 const PEER_ANSWER_MS: u64 = 20;
-/// Bytes that a link carries in a millisecond: 10 Mbit/s.
+/// Capacity of a link, in bytes per millisecond: 10 Mbit/s.
 const LINK_BYTES_PER_MS: u64 = 1_250;
-/// Longest time for an answer beyond that for its first byte.
+/// Longest transfer of a response after the timeout of its first byte, in milliseconds.
 const TRANSFER_MAX_MS: u64 = 4_500;
-/// Pause between two queries of peers after the start.
+/// Pause between two queries of peers after the start, in milliseconds.
 const START_PAUSE_MS: u64 = 80;
-const SENTINELS: usize = 2;
-const DEPUTIES: usize = 4;
+const WATCHERS: usize = 2;
+const STANDBYS: usize = 4;
 
-/// Whom the platform does not answer.
+/// The nodes that the platform does not respond to during an outage.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Silent {
+pub enum OutageScope {
     All,
-    /// The sentinels only.
-    Sentinels,
-    /// The sentinels and deputies.
+    /// The watchers only.
+    Watchers,
+    /// The watchers and standbys.
     Readers,
-    /// All, who are told so at once.
-    Refusing,
+    /// All nodes; their calls are refused at once.
+    AllRefused,
 }
 
-/// A platform whose revision rises at given times, and that is silent towards some for some time.
+/// A platform whose revision rises at given times, with an outage for some nodes.
 pub struct SimPlatform {
-    pub silent_ms: Range<u64>,
-    pub silent_to: Silent,
+    pub outage_ms: Range<u64>,
+    pub outage_scope: OutageScope,
     pub changes_ms: Vec<u64>,
-    /// Whether the changes are configurations, which relays do not hold.
-    pub large: bool,
-    /// Time that each change in an answer takes on the link to a node: a watch brings all that a node lacks, each whole, and a
-    /// read of everything the newest alone.
+    /// Whether the changes are configurations, which relays do not contain.
+    pub publishes_configurations: bool,
+    /// Transfer time of each change in a response, in milliseconds. A watch returns all versions that a node
+    /// lacks, a snapshot only the newest.
     pub transfer_ms: u64,
-    /// When the platform forgets its history, if it does: watches hear nothing for a second before that, and are cut.
+    /// When the platform drops its history, if it does, in milliseconds. For a second before that, watches
+    /// return no changes; then they fail.
     pub history_gone_ms: Option<u64>,
-    /// Pages of a read of everything.
+    /// Number of pages of a snapshot.
     pub pages: u64,
-    /// Time that a node takes for a page, in milliseconds.
+    /// Time that a node takes to read a page, in milliseconds.
     pub page_ms: u64,
-    /// Upstreams that the platform lists.
+    /// Number of upstreams that the platform lists.
     pub upstreams: usize,
-    /// Time over which nodes read by themselves after the start, but for three seeds; 0 where all read at once.
+    /// Start period of all nodes but the seed nodes, in milliseconds; with 0 all nodes read at once.
     pub start_spread_ms: u64,
 }
 
-/// Nodes that all others know from the start.
+/// Number of nodes that all others know from the start.
 const SEEDS: usize = 3;
-/// Whole states that a node sends in each step.
+/// Full states that a node sends in each step.
 const WHOLE_STATES_PER_STEP: usize = 1;
 
-/// Time for which watches hear nothing before the history is dropped, in milliseconds.
-const DEAF_MS: u64 = 1_000;
+/// Time before the history is dropped during which watches return no changes, in milliseconds.
+const OMITTED_CHANGES_MS: u64 = 1_000;
 
 impl Default for SimPlatform {
-    /// A platform that answers everybody and never changes.
+    /// A platform that responds to all nodes and never changes.
     fn default() -> Self {
         Self {
-            silent_ms: 0..0,
-            silent_to: Silent::All,
+            outage_ms: 0..0,
+            outage_scope: OutageScope::All,
             changes_ms: Vec::new(),
-            large: false,
+            publishes_configurations: false,
             transfer_ms: 0,
             history_gone_ms: None,
             pages: 1,
@@ -89,13 +90,13 @@
     }
 }
 
-impl Played {
-    /// Calls to the platform.
+impl SimResult {
+    /// Number of calls to the platform.
     pub fn calls(&self) -> usize {
         self.calls_ms.len()
     }
 
-    /// Calls to the platform that were made in a time.
+    /// Number of calls to the platform within a period.
     pub fn calls_in(&self, time_ms: Range<u64>) -> usize {
         self.calls_ms.iter().filter(|at_ms| time_ms.contains(at_ms)).count()
     }
@@ -106,41 +107,41 @@
         1 + self.changes_ms.iter().filter(|at| **at <= now_ms).count() as u64
     }
 
-    fn is_silent(&self, role: ReaderRole, now_ms: u64) -> bool {
-        let reached = match self.silent_to {
-            Silent::All | Silent::Refusing => true,
-            Silent::Sentinels => role == ReaderRole::Watcher,
-            Silent::Readers => role != ReaderRole::Follower,
+    fn is_unavailable_to(&self, role: ReaderRole, now_ms: u64) -> bool {
+        let in_scope = match self.outage_scope {
+            OutageScope::All | OutageScope::AllRefused => true,
+            OutageScope::Watchers => role == ReaderRole::Watcher,
+            OutageScope::Readers => role != ReaderRole::Follower,
         };
-        reached && self.silent_ms.contains(&now_ms)
+        in_scope && self.outage_ms.contains(&now_ms)
     }
 
-    /// Whether watches hear nothing, since the history is about to be dropped.
-    fn is_deaf(&self, now_ms: u64) -> bool {
+    /// Whether watches return no changes, since the history is about to be dropped.
+    fn omits_changes(&self, now_ms: u64) -> bool {
         self.history_gone_ms
-            .is_some_and(|gone_ms| (gone_ms.saturating_sub(DEAF_MS)..gone_ms).contains(&now_ms))
+            .is_some_and(|gone_ms| (gone_ms.saturating_sub(OMITTED_CHANGES_MS)..gone_ms).contains(&now_ms))
     }
 
-    /// Whether the changes after a revision are forgotten.
-    fn is_forgotten(&self, after: u64, now_ms: u64) -> bool {
+    /// Whether the changes after a revision have been dropped.
+    fn has_dropped_history(&self, after: u64, now_ms: u64) -> bool {
         self.history_gone_ms.is_some_and(|gone_ms| now_ms >= gone_ms && after < self.revision(gone_ms))
     }
 
-    /// A page of everything, of so many.
+    /// The page of a snapshot with the given number.
     fn page(&self, number: u64, now_ms: u64) -> ChangePage {
         let revision = self.revision(now_ms);
         let next_page = (number + 1 < self.pages).then(|| (number + 1).to_string());
         ChangePage { next_page, ..page(revision, self.changes(revision)) }
     }
 
-    /// How long a change has been published that a node at a revision lacks.
+    /// Time since the publication of the first change that a node at a revision lacks, in milliseconds.
     fn lag_ms(&self, revision: u64, now_ms: u64) -> u64 {
-        let first_lacking = self.changes_ms.iter().filter(|at| **at <= now_ms).nth(revision as usize - 1);
-        first_lacking.map_or(0, |at| now_ms - at)
+        let first_missing = self.changes_ms.iter().filter(|at| **at <= now_ms).nth(revision as usize - 1);
+        first_missing.map_or(0, |at| now_ms - at)
     }
 
     fn changes(&self, revision: u64) -> Vec<Change> {
-        match self.large {
+        match self.publishes_configurations {
             true => vec![configured(revision)],
             false => vec![told("one", 1)],
         }
@@ -150,32 +151,32 @@
 /// The network between the nodes.
 #[derive(Clone, Copy)]
 pub struct SimNetwork {
-    /// Share of relays and questions that are lost.
+    /// Share of relays and queries that are lost.
     pub loss: f64,
-    /// Whether nothing passes at all.
-    pub cut: bool,
+    /// Whether all messages are lost.
+    pub partitioned: bool,
 }
 
-pub const SOUND: SimNetwork = SimNetwork { loss: 0.02, cut: false };
-pub const CUT: SimNetwork = SimNetwork { loss: 0.0, cut: true };
+pub const HEALTHY: SimNetwork = SimNetwork { loss: 0.02, partitioned: false };
+pub const PARTITIONED: SimNetwork = SimNetwork { loss: 0.0, partitioned: true };
 
-/// A call of a node that has not been answered.
+/// A call to the platform in progress.
 struct Pending {
     call: ReaderCall,
     due_ms: u64,
-    dead_ms: u64,
-    hangs: bool,
-    /// The answer on its way, and when its last byte comes.
-    arriving: Option<(u64, ChangePage)>,
+    timeout_at_ms: u64,
+    unanswered: bool,
+    /// The response being transferred, and when its last byte arrives.
+    transfer: Option<(u64, ChangePage)>,
 }
 
-/// What a node of these runs holds.
-struct SimHeld {
+/// State held by a simulated node.
+struct SimState {
     mark: ReadMark,
     upstreams: usize,
 }
 
-impl KnownState for SimHeld {
+impl KnownState for SimState {
     fn entries(&self) -> Vec<Change> {
         (0..self.upstreams).map(|number| told(&format!("i-{number}"), 1)).collect()
     }
@@ -189,28 +190,28 @@
     }
 }
 
-/// One node of a run, with its reader and the call it waits for.
+/// A simulated node with its reader and its calls in progress.
 struct SimNode {
     reader: PlatformReader,
     role: ReaderRole,
     /// Position in the order in which nodes query each other.
     position: f64,
-    /// The call to the platform under way.
+    /// The call to the platform in progress.
     pending: Option<Pending>,
-    /// The query of a peer under way, and when it is answered.
+    /// The query of a peer in progress, and when its response arrives.
     query: Option<(PeerQuery, u64)>,
-    /// When it called the platform.
+    /// Times of its calls to the platform, in milliseconds.
     calls_ms: Vec<u64>,
-    /// The reader that it would query; the port of its address is its number.
+    /// The broadcaster that it would query; the port of the address is the number of that node.
     broadcaster: Option<Broadcaster>,
-    told: bool,
+    response_received: bool,
 }
 
 impl SimNode {
     fn new(platform: &SimPlatform, seed: u64, number: usize, nodes: usize) -> Self {
         let role = match number {
-            _ if number < SENTINELS => ReaderRole::Watcher,
-            _ if number < SENTINELS + DEPUTIES => ReaderRole::Standby,
+            _ if number < WATCHERS => ReaderRole::Watcher,
+            _ if number < WATCHERS + STANDBYS => ReaderRole::Standby,
             _ => ReaderRole::Follower,
         };
         let start_spread_ms = if number < SEEDS { 0 } else { platform.start_spread_ms };
@@ -230,7 +231,7 @@
             query: None,
             calls_ms: Vec::new(),
             broadcaster: None,
-            told: false,
+            response_received: false,
         }
     }
 
@@ -244,14 +245,14 @@
         if self.reader.is_to_be_interrupted() {
             self.pending = None;
         }
-        // After the start a node waits for a peer's answer before it calls.
-        let starts = self.query.is_some_and(|(query, _)| query.target == QueryTarget::Any);
-        if self.pending.is_none() && !starts {
+        // After the start a node waits for the peer's response before it calls the platform.
+        let is_startup_query = self.query.is_some_and(|(query, _)| query.target == QueryTarget::Any);
+        if self.pending.is_none() && !is_startup_query {
             self.call(platform, now_ms);
         }
     }
 
-    /// Makes the next call to the platform, if one is due.
+    /// Starts the next call to the platform, if one is due.
     fn call(&mut self, platform: &SimPlatform, now_ms: u64) {
         let call = self.reader.next(now_ms * MS);
         let (wait_ms, timeout_ms) = match call {
@@ -261,46 +262,48 @@
             ReaderCall::Snapshot { timeout_ms, .. } => (0, timeout_ms),
         };
         self.calls_ms.push(now_ms);
-        let hangs = platform.is_silent(self.role, now_ms);
-        if hangs && platform.silent_to == Silent::Refusing {
+        let unanswered = platform.is_unavailable_to(self.role, now_ms);
+        if unanswered && platform.outage_scope == OutageScope::AllRefused {
             return self.reader.call_failed(CallFailure::Unavailable, now_ms * MS);
         }
         self.pending = Some(Pending {
             call,
             due_ms: now_ms + wait_ms,
-            dead_ms: now_ms + timeout_ms,
-            hangs,
-            arriving: None,
+            timeout_at_ms: now_ms + timeout_ms,
+            unanswered,
+            transfer: None,
         });
     }
 
     fn finish_call(&mut self, platform: &SimPlatform, now_ms: u64) {
         let Some(mut pending) = self.pending.take() else { return };
-        if let Some((at_ms, page)) = pending.arriving.take() {
-            return self.receive_answer(pending, at_ms, page, now_ms);
+        if let Some((at_ms, page)) = pending.transfer.take() {
+            return self.receive_response(pending, at_ms, page, now_ms);
         }
-        pending.hangs |= platform.is_silent(self.role, now_ms);
+        pending.unanswered |= platform.is_unavailable_to(self.role, now_ms);
         let revision = platform.revision(now_ms);
         let changed = match pending.call {
-            ReaderCall::Watch { after, .. } if platform.is_forgotten(after, now_ms) && !pending.hangs => {
+            ReaderCall::Watch { after, .. }
+                if platform.has_dropped_history(after, now_ms) && !pending.unanswered =>
+            {
                 return self.reader.call_failed(CallFailure::HistoryGone, now_ms * MS);
             }
-            ReaderCall::Watch { after, .. } => revision > after && !platform.is_deaf(now_ms),
+            ReaderCall::Watch { after, .. } => revision > after && !platform.omits_changes(now_ms),
             _ => true,
         };
-        if now_ms >= pending.dead_ms {
+        if now_ms >= pending.timeout_at_ms {
             self.reader.call_failed(CallFailure::Unavailable, now_ms * MS);
-        } else if pending.hangs || !(changed || now_ms >= pending.due_ms) {
+        } else if pending.unanswered || !(changed || now_ms >= pending.due_ms) {
             self.pending = Some(pending);
         } else {
-            self.begin_answer(pending, platform, now_ms);
+            self.begin_response(pending, platform, now_ms);
         }
     }
 
-    /// The head of an answer comes.
-    fn begin_answer(&mut self, pending: Pending, platform: &SimPlatform, now_ms: u64) {
+    /// Delivers the head of a response.
+    fn begin_response(&mut self, pending: Pending, platform: &SimPlatform, now_ms: u64) {
         let revision = match pending.call {
-            ReaderCall::Watch { after, .. } if platform.is_deaf(now_ms) => after,
+            ReaderCall::Watch { after, .. } if platform.omits_changes(now_ms) => after,
             _ => platform.revision(now_ms),
         };
         if let ReaderCall::Snapshot { next_page, .. } = &pending.call
@@ -308,65 +311,65 @@
         {
             let number = next_page.as_ref().map_or(0, |number| number.parse().unwrap());
             self.reader.answer_began(now_ms * MS);
-            return self.receive_answer(
+            return self.receive_response(
                 pending,
                 now_ms + platform.page_ms,
                 platform.page(number, now_ms),
                 now_ms,
             );
         }
-        let (values, bytes_max) = match pending.call {
+        let (versions, bytes_max) = match pending.call {
             ReaderCall::Watch { after, answer_bytes_max, .. } => (revision - after, answer_bytes_max),
             _ => (1, usize::MAX),
         };
-        let changes = if values > 0 { platform.changes(revision) } else { Vec::new() };
-        let transfer_ms = values * platform.transfer_ms;
+        let changes = if versions > 0 { platform.changes(revision) } else { Vec::new() };
+        let transfer_ms = versions * platform.transfer_ms;
         let size_bytes = (transfer_ms * LINK_BYTES_PER_MS) as usize;
         self.reader.answer_began(now_ms * MS);
         if size_bytes > bytes_max {
             return self.reader.call_failed(CallFailure::LongerThanState, now_ms * MS);
         }
         self.reader.answer_came(size_bytes);
-        self.receive_answer(pending, now_ms + transfer_ms, page(revision, changes), now_ms);
+        self.receive_response(pending, now_ms + transfer_ms, page(revision, changes), now_ms);
     }
 
-    /// Takes an answer once its last byte has come; one that takes too long breaks off.
-    fn receive_answer(&mut self, mut pending: Pending, at_ms: u64, page: ChangePage, now_ms: u64) {
-        if now_ms >= pending.dead_ms + TRANSFER_MAX_MS {
+    /// Delivers a response once its last byte has arrived, or a truncated one if the transfer takes too long.
+    fn receive_response(&mut self, mut pending: Pending, at_ms: u64, page: ChangePage, now_ms: u64) {
+        if now_ms >= pending.timeout_at_ms + TRANSFER_MAX_MS {
             return self.reader.call_failed(CallFailure::BrokenOff, now_ms * MS);
         }
         if now_ms < at_ms {
-            pending.arriving = Some((at_ms, page));
+            pending.transfer = Some((at_ms, page));
             self.pending = Some(pending);
             return;
         }
-        self.told = true;
+        self.response_received = true;
         match pending.call {
             ReaderCall::Watch { .. } => self.reader.watch_answered(page, now_ms * MS),
             _ => self.reader.page_read(page, [].into_iter(), now_ms * MS),
         };
     }
 
-    /// The query of a peer that is due to be answered now.
-    fn asks(&mut self, now_ms: u64) -> Option<PeerQuery> {
+    /// Takes the query of a peer whose response is due.
+    fn take_due_query(&mut self, now_ms: u64) -> Option<PeerQuery> {
         let due = self.query.take_if(|(_, due_ms)| now_ms >= *due_ms);
         due.map(|(query, _)| query)
     }
 }
 
-/// What a run of a fleet shows.
-pub struct Played {
-    /// When the platform was called, in milliseconds.
+/// Result of a simulation.
+pub struct SimResult {
+    /// Times of the calls to the platform, in milliseconds.
     pub calls_ms: Vec<u64>,
-    /// When the last of the nodes that the platform answers knew the newest revision.
-    pub all_known_ms: u64,
-    /// The longest time for which a change was published that a node did not know.
-    pub longest_lag_ms: u64,
-    /// When the last grace period of expired entries was over at any node; 0 if there was none.
-    pub grace_over_ms: u64,
+    /// When the last node that the platform responds to had the newest revision, in milliseconds.
+    pub all_converged_ms: u64,
+    /// The longest time for which any node lacked a published change, in milliseconds.
+    pub lag_max_ms: u64,
+    /// When the last grace period of expired entries ended at any node, in milliseconds; 0 if there was none.
+    pub grace_end_ms: u64,
 }
 
-fn answer_questions(
+fn answer_queries(
     fleet: &mut [SimNode],
     upstreams: usize,
     network: SimNetwork,
@@ -374,37 +377,37 @@
     now_ms: u64,
 ) {
     let mut whole_states = vec![0; fleet.len()];
-    for asker in 0..fleet.len() {
-        let Some(PeerQuery { target, request, .. }) = fleet[asker].asks(now_ms) else { continue };
-        let peer = peer_of(fleet, asker, target, rng);
-        let lost = network.cut || peer == asker || rng.random_bool(network.loss);
-        let reads = fleet[peer].reader.is_reading();
-        let held = SimHeld { mark: fleet[peer].reader.mark(), upstreams };
+    for querier in 0..fleet.len() {
+        let Some(PeerQuery { target, request, .. }) = fleet[querier].take_due_query(now_ms) else { continue };
+        let peer = query_target(fleet, querier, target, rng);
+        let lost = network.partitioned || peer == querier || rng.random_bool(network.loss);
+        let is_reading = fleet[peer].reader.is_reading();
+        let state = SimState { mark: fleet[peer].reader.mark(), upstreams };
         let is_newer = fleet[peer].reader.newer_age_ms(&request, now_ms * MS).is_some();
         let whole = is_newer && fleet[peer].reader.answers_whole(&request);
         whole_states[peer] += usize::from(whole);
-        let turned_away = whole && whole_states[peer] > WHOLE_STATES_PER_STEP;
-        let reply: Option<StateReply> = match lost || turned_away {
+        let rejected = whole && whole_states[peer] > WHOLE_STATES_PER_STEP;
+        let reply: Option<StateReply> = match lost || rejected {
             true => None,
-            false => fleet[peer].reader.answer(&request, &held, now_ms * MS),
+            false => fleet[peer].reader.answer(&request, &state, now_ms * MS),
         };
         match reply {
-            Some(reply) => _ = fleet[asker].reader.receive_state(reply, [].into_iter(), now_ms * MS),
-            None if lost => fleet[asker].reader.query_failed(now_ms * MS),
-            None if reads => fleet[asker].reader.query_found_reader(now_ms * MS),
-            None => fleet[asker].reader.query_declined(now_ms * MS),
+            Some(reply) => _ = fleet[querier].reader.receive_state(reply, [].into_iter(), now_ms * MS),
+            None if lost => fleet[querier].reader.query_failed(now_ms * MS),
+            None if is_reading => fleet[querier].reader.query_found_reader(now_ms * MS),
+            None => fleet[querier].reader.query_declined(now_ms * MS),
         }
     }
 }
 
-fn peer_of(fleet: &[SimNode], asker: usize, target: QueryTarget, rng: &mut SmallRng) -> usize {
-    let broadcaster = fleet[asker].broadcaster.map(|broadcaster| usize::from(broadcaster.address.port()));
-    let teller = broadcaster.unwrap_or_else(|| rng.random_range(0..SENTINELS));
-    let peers = fleet.iter().enumerate().filter(|(node, _)| *node != asker);
+fn query_target(fleet: &[SimNode], querier: usize, target: QueryTarget, rng: &mut SmallRng) -> usize {
+    let broadcaster = fleet[querier].broadcaster.map(|broadcaster| usize::from(broadcaster.address.port()));
+    let fallback = broadcaster.unwrap_or_else(|| rng.random_range(0..WATCHERS));
+    let peers = fleet.iter().enumerate().filter(|(node, _)| *node != querier);
     let peers = peers.map(|(node, sim)| QueryCandidate { node, position: sim.position, near: true });
     match target {
-        QueryTarget::Earlier { .. } => earlier_peer(fleet[asker].position, peers, rng).unwrap_or(teller),
-        QueryTarget::Broadcaster => teller,
+        QueryTarget::Earlier { .. } => earlier_peer(fleet[querier].position, peers, rng).unwrap_or(fallback),
+        QueryTarget::Broadcaster => fallback,
         QueryTarget::Any => {
             let informed = (0..fleet.len()).filter(|node| fleet[*node].reader.mark().revision > 0);
             informed.choose(rng).unwrap_or_else(|| rng.random_range(0..SEEDS))
@@ -412,62 +415,72 @@
     }
 }
 
-pub fn play(platform: &SimPlatform, network: SimNetwork, seed: u64, nodes: usize, until_ms: u64) -> Played {
-    let new = |number: usize| SimNode::new(platform, seed * 100 + number as u64, number, nodes);
-    let mut fleet: Vec<SimNode> = (0..nodes).map(new).collect();
+pub fn simulate(
+    platform: &SimPlatform,
+    network: SimNetwork,
+    seed: u64,
+    nodes: usize,
+    until_ms: u64,
+) -> SimResult {
+    let new_node = |number: usize| SimNode::new(platform, seed * 100 + number as u64, number, nodes);
+    let mut fleet: Vec<SimNode> = (0..nodes).map(new_node).collect();
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut known: Vec<(u64, u64)> = Vec::new();
-    let (mut all_known_ms, mut longest_lag_ms) = (0, 0);
+    let mut revisions: Vec<(u64, u64)> = Vec::new();
+    let (mut all_converged_ms, mut lag_max_ms) = (0, 0);
     for now_ms in (0..until_ms).step_by(STEP_MS as usize) {
-        let heard =
-            known.iter().rev().find(|(at, _)| at + GOSSIP_MS <= now_ms).map_or(0, |(_, newest)| *newest);
+        let gossiped_revision =
+            revisions.iter().rev().find(|(at, _)| at + GOSSIP_MS <= now_ms).map_or(0, |(_, newest)| *newest);
         for node in &mut fleet {
-            node.reader.set_reached_nodes(if network.cut { 1 } else { nodes });
+            node.reader.set_reached_nodes(if network.partitioned { 1 } else { nodes });
             node.step(platform, now_ms);
-            node.reader.compare_with_peers(node.role, if network.cut { 0 } else { heard }, now_ms * MS);
+            node.reader.compare_with_peers(
+                node.role,
+                if network.partitioned { 0 } else { gossiped_revision },
+                now_ms * MS,
+            );
         }
-        answer_questions(&mut fleet, platform.upstreams, network, &mut rng, now_ms);
+        answer_queries(&mut fleet, platform.upstreams, network, &mut rng, now_ms);
         for (sender, relay) in relays(&mut fleet, now_ms) {
             for (receiver, node) in fleet.iter_mut().enumerate() {
-                if sender != receiver && !network.cut && !rng.random_bool(network.loss) {
+                if sender != receiver && !network.partitioned && !rng.random_bool(network.loss) {
                     node.reader.hear_reader(relay.age_ms, sender < receiver);
-                    let heard = Broadcaster {
+                    let broadcaster = Broadcaster {
                         address: SocketAddr::from(([127, 0, 0, 1], sender as u16)),
                         revision: relay.mark.revision,
                         received_at_us: now_ms * MS,
                     };
-                    node.broadcaster = Some(heard.or_better(node.broadcaster));
+                    node.broadcaster = Some(broadcaster.or_better(node.broadcaster));
                     node.reader.receive_relay(relay.clone(), node.position, now_ms * MS);
                 }
             }
         }
-        known.push((now_ms, fleet.iter().map(|node| node.reader.mark().revision).max().unwrap_or(0)));
-        // One that the platform does not answer is not in touch.
-        let in_touch = |node: &&SimNode| {
-            matches!(platform.silent_to, Silent::All | Silent::Refusing)
-                || !platform.is_silent(node.role, now_ms)
+        revisions.push((now_ms, fleet.iter().map(|node| node.reader.mark().revision).max().unwrap_or(0)));
+        // Nodes that the platform does not respond to are not required to converge.
+        let served = |node: &&SimNode| {
+            matches!(platform.outage_scope, OutageScope::All | OutageScope::AllRefused)
+                || !platform.is_unavailable_to(node.role, now_ms)
         };
         let revision = platform.revision(now_ms);
-        if fleet.iter().filter(in_touch).any(|node| node.reader.mark().revision < revision) {
-            all_known_ms = now_ms;
+        if fleet.iter().filter(served).any(|node| node.reader.mark().revision < revision) {
+            all_converged_ms = now_ms;
         }
         let lag_ms = |node: &SimNode| platform.lag_ms(node.reader.mark().revision.max(1), now_ms);
-        longest_lag_ms = longest_lag_ms.max(fleet.iter().map(lag_ms).max().unwrap_or_default());
+        lag_max_ms = lag_max_ms.max(fleet.iter().map(lag_ms).max().unwrap_or_default());
     }
     let grace_over_us = fleet.iter().map(|node| node.reader.grace_until_us()).max().unwrap_or_default();
-    Played {
+    SimResult {
         calls_ms: fleet.iter().flat_map(|node| node.calls_ms.clone()).collect(),
-        all_known_ms,
-        longest_lag_ms,
-        grace_over_ms: grace_over_us / MS,
+        all_converged_ms,
+        lag_max_ms,
+        grace_end_ms: grace_over_us / MS,
     }
 }
 
-/// The relays that are sent now, each with the node that sends it.
+/// The relays sent in this step, each with the number of its sender.
 fn relays(fleet: &mut [SimNode], now_ms: u64) -> Vec<(usize, Relay)> {
     let broadcasts = |node: &mut SimNode| {
-        let told = std::mem::take(&mut node.told) && node.reader.broadcasts();
-        told || (node.reader.watches() && now_ms % RELAY_MS < STEP_MS)
+        let response_received = std::mem::take(&mut node.response_received) && node.reader.broadcasts();
+        response_received || (node.reader.watches() && now_ms % RELAY_MS < STEP_MS)
     };
     let relay = |(number, node): (usize, &mut SimNode)| {
         let relay = if broadcasts(node) { node.reader.relay(now_ms * MS) } else { None };
--- a/crates/pointvane-dispatch/tests/startup.rs
+++ b/crates/pointvane-dispatch/tests/startup.rs
@@ -1,4 +1,4 @@
-//! What a node that knows nothing does first, when it reaches the nodes that all know from the start and when it does not.
+//! Tests of the start of a node without any state, with and without reachable seed nodes.
 
 mod common;
 
@@ -13,8 +13,8 @@
 
 const MS: u64 = 1_000;
 
-/// A node that is none of those that all know from the start.
-fn newcomer(seed: u64) -> PlatformReader {
+/// A node that is not a seed node.
+fn starting_node(seed: u64) -> PlatformReader {
     let options = ReaderOptions {
         start_queries: 0,
         start_spread_ms: 2_000,
@@ -29,15 +29,16 @@
     matches!(call, ReaderCall::QueryPeer(PeerQuery { target: QueryTarget::Any, .. }))
 }
 
-/// The first page of two.
+/// The first of two pages.
 fn first_page() -> ChangePage {
     let changes = vec![configured(3), told("a", 1)];
     ChangePage { next_page: Some("servers/a".into()), ..page(5, changes) }
 }
 
-/// A node that reached none of the first nodes and has read a first page; when it goes on.
+/// A node that reached no seed node and has read the first page, and the time at which it reads on, in
+/// microseconds.
 fn after_first_page(seed: u64) -> (PlatformReader, u64) {
-    let mut reader = newcomer(seed);
+    let mut reader = starting_node(seed);
     expect_that!(is_query(&reader.next(0)), eq(true));
     reader.query_failed(30 * MS);
     expect_that!(reader.next(50 * MS), matches_pattern!(ReaderCall::Snapshot { next_page: none(), .. }));
@@ -51,12 +52,12 @@
     (reader, now_us)
 }
 
-/// Of 121 nodes after a loss of power each knew everything 0.31 s after its start before, when the platform was read after three queries
-/// that reached nobody.
+/// Guards the recovery time after a power loss: when the platform was read only after three queries that
+/// reached no peer, each of 121 nodes had the state 0.31 s after its start.
 #[gtest]
-fn a_node_that_reaches_no_peer_reads_a_small_platform_at_once() {
+fn a_node_that_reaches_no_peer_reads_a_small_state_at_once() {
     for seed in 0..50 {
-        let mut reader = newcomer(seed);
+        let mut reader = starting_node(seed);
         expect_that!(is_query(&reader.next(0)), eq(true));
         reader.query_failed(30 * MS);
         expect_that!(reader.next(30 * MS), eq(&ReaderCall::Wait { until_us: 50 * MS }));
@@ -66,20 +67,20 @@
     }
 }
 
-/// Hundreds of nodes that read all pages at once fill the platform's link.
+/// Guards against hundreds of nodes reading all pages at once, which saturates the link of the platform.
 #[gtest]
-fn of_a_large_platform_few_nodes_read_more_than_a_page_at_first() {
-    let goes_on_ms: Vec<u64> = (0..472).map(|seed| after_first_page(seed).1 / MS).collect();
-    let by = |end_ms: u64| goes_on_ms.iter().filter(|at_ms| **at_ms <= end_ms).count();
-    expect_that!(by(400), le(40));
-    expect_that!(by(600), le(100));
-    expect_that!(by(1_200), eq(472), "nobody waits for long");
+fn few_nodes_read_past_the_first_page_of_a_large_state_early() {
+    let resumed_ms: Vec<u64> = (0..472).map(|seed| after_first_page(seed).1 / MS).collect();
+    let resumed_by = |end_ms: u64| resumed_ms.iter().filter(|at_ms| **at_ms <= end_ms).count();
+    expect_that!(resumed_by(400), le(40));
+    expect_that!(resumed_by(600), le(100));
+    expect_that!(resumed_by(1_200), eq(472), "no node waits longer");
 }
 
 #[gtest]
-fn a_peers_state_takes_the_place_of_a_read_that_has_begun() {
+fn a_peers_state_replaces_a_snapshot_in_progress() {
     for seed in 0..50 {
-        let mut reader = newcomer(seed);
+        let mut reader = starting_node(seed);
         reader.next(0);
         reader.query_failed(30 * MS);
         reader.next(50 * MS);
@@ -94,9 +95,9 @@
 }
 
 #[gtest]
-fn a_node_that_is_told_to_wait_by_a_peer_leaves_the_platform_alone() {
-    let reads_at_ms = |seed| {
-        let mut reader = newcomer(seed);
+fn a_node_that_peers_decline_does_not_call_the_platform_early() {
+    let read_ms = |seed| {
+        let mut reader = starting_node(seed);
         let mut now_us = 0;
         while is_query(&reader.next(now_us)) {
             now_us += 200 * MS;
@@ -105,13 +106,13 @@
         }
         now_us / MS
     };
-    let early = (0..472).filter(|seed| reads_at_ms(*seed) < 1_000).count();
+    let early = (0..472).filter(|seed| read_ms(*seed) < 1_000).count();
     expect_that!(early, le(30));
 }
 
 #[gtest]
-fn a_platform_that_fails_a_newcomer_is_read_again_after_peers_were_queried() {
-    let mut reader = newcomer(1);
+fn a_failed_first_read_is_retried_after_querying_peers() {
+    let mut reader = starting_node(1);
     reader.next(0);
     reader.query_failed(30 * MS);
     reader.next(50 * MS);
@@ -122,8 +123,8 @@
 }
 
 #[gtest]
-fn a_first_read_may_be_stale_and_one_of_a_node_that_serves_may_not() {
-    let mut reader = newcomer(1);
+fn only_the_first_snapshot_may_be_stale() {
+    let mut reader = starting_node(1);
     reader.next(0);
     reader.query_failed(30 * MS);
     let first = reader.next(50 * MS);
@@ -141,20 +142,21 @@
     expect_that!(call, matches_pattern!(ReaderCall::Snapshot { freshness: eq(&newest), .. }));
 }
 
-/// Pages of a stale read may come from copies of the platform that are not equally old.
+/// Pages of a stale read may come from replicas of the platform that lag by different amounts.
 #[gtest]
-fn changes_since_the_oldest_page_are_watched() {
-    let mut reader = newcomer(1);
+fn the_watch_continues_from_the_oldest_page() {
+    let mut reader = starting_node(1);
     reader.page_read(ChangePage { next_page: Some("m".into()), ..page(9, Vec::new()) }, [].into_iter(), MS);
     reader.page_read(page(6, vec![configured(3)]), [].into_iter(), 2 * MS);
     expect_that!(reader.mark().revision, eq(6));
 }
 
-/// How long a read takes grows with what the platform holds, so it is waited for as long as its reader says that it goes on.
+/// The duration of a read grows with the amount of data, so a node waits while the reading peer reports
+/// progress, up to a limit.
 #[gtest]
-fn a_peer_that_reads_the_platform_is_waited_for_but_not_for_ever() {
+fn the_wait_for_a_peer_that_reads_the_platform_is_bounded() {
     for seed in 0..50 {
-        let mut reader = newcomer(seed);
+        let mut reader = starting_node(seed);
         let mut now_us = 0;
         while is_query(&reader.next(now_us)) {
             now_us += 200 * MS;
@@ -162,10 +164,10 @@
             now_us += 20 * MS;
         }
         expect_that!(now_us, all!(ge(5_900 * MS), le(6_500 * MS)), "seed {seed}");
-        let mut reader = newcomer(seed);
+        let mut reader = starting_node(seed);
         expect_that!(is_query(&reader.next(0)), eq(true));
         reader.query_found_reader(200 * MS);
-        // It is not heard again.
+        // The peer does not report again.
         let mut now_us = 220 * MS;
         while is_query(&reader.next(now_us)) {
             now_us += 50 * MS;
