--- a/crates/pointvane-dispatch/src/budget.rs
+++ b/crates/pointvane-dispatch/src/budget.rs
@@ -49,7 +49,7 @@
         self.retries.values_mut().for_each(|budget| budget.set_nodes(self.nodes));
     }
 
-    /// The largest number of nodes ever seen at once, at least [`NODES_MIN`].
+    /// The largest number of nodes ever seen at once, at least `NODES_MIN`.
     pub fn nodes(&self) -> usize {
         self.nodes
     }
