--- a/crates/pointvane-dispatch/src/quota.rs
+++ b/crates/pointvane-dispatch/src/quota.rs
@@ -39,7 +39,8 @@
 pub struct FleetContact {
     /// Whether messages of other nodes arrive; also true if the fleet has no other nodes.
     pub connected: bool,
-    /// Number of nodes in the fleet, including this one. `None` until a message of another node has arrived.
+    /// Number of nodes in the fleet, including this one. `None` while other nodes are configured and no
+    /// message of any has arrived.
     pub nodes: Option<usize>,
     /// Fraction of these nodes that is reachable, from 0 to 1.
     pub reached_share: f64,
