--- a/crates/pointvane-dispatch/tests/large_fleets.rs
+++ b/crates/pointvane-dispatch/tests/large_fleets.rs
@@ -10,7 +10,7 @@
     googletest::prelude::*,
 };
 
-/// Fleet sizes, in nodes: the largest known deployment and the largest planned one.
+/// Fleet sizes, in nodes: the largest known deployment and the planned one.
 const SIZES: [usize; 2] = [472, 1_800];
 /// Upstreams per hundred nodes, as in the largest known deployment.
 const UPSTREAMS_PER_100: usize = 229;
