--- a/crates/pointvane-dispatch/benches/quarantine.rs
+++ b/crates/pointvane-dispatch/benches/quarantine.rs
@@ -1,7 +1,8 @@
 //! Cost of the quarantine check per request: `cargo bench -p pointvane-dispatch --bench quarantine`.
 //!
-//! Medians on a loaded machine: 2.7 ns while no request is tracked, 0.22 us while 512 others are tracked, 0.37 us for a
-//! refused request. Both fingerprints of a request: 0.40 us without a body, 1.3 us with 1,200 bytes, 12 us with 16 KB.
+//! Medians on a loaded machine: 2.7 ns while no request is tracked, 0.22 us while 512 others are tracked,
+//! 0.37 us for a refused request. Both fingerprints of a request: 0.40 us without a body, 1.3 us with 1,200
+//! bytes, 12 us with 16 KB.
 
 use {
     criterion::{BenchmarkId, Criterion, criterion_group, criterion_main},
--- a/crates/pointvane-dispatch/src/access.rs
+++ b/crates/pointvane-dispatch/src/access.rs
@@ -1,12 +1,13 @@
 //! Access control: attributes a request to a client account and decides whether it is served.
 //!
-//! Checked when a request arrives, and again immediately before each send if the configuration has changed in the
-//! meantime. Inputs: the accounts in the configuration, whether the route is public, the digest of the caller's API key,
-//! and, if the deployment requires it, the time since the platform last confirmed the accounts.
+//! Checked when a request arrives, and again immediately before each send if the configuration has changed in
+//! the meantime. Inputs: the accounts in the configuration, whether the route is public, the digest of the
+//! caller's API key, and, if the deployment requires it, the time since the platform last confirmed the
+//! accounts.
 //!
-//! Without configured accounts, every request is served. A public route also serves every request, but attributes those
-//! with a known key to its account. Invariant: no request runs for an account that does not hold its key in the current
-//! configuration. Tests: `tests/access.rs`.
+//! Without configured accounts, every request is served. A public route also serves every request, but
+//! attributes those with a known key to its account. Invariant: no request runs for an account that does not
+//! hold its key in the current configuration. Tests: `tests/access.rs`.
 
 use {
     pointvane_core::{AccountRule, ErrorKind, KeyDigest, Name, RouteRule},
@@ -54,7 +55,8 @@
 ///
 /// # Errors
 ///
-/// [`ErrorKind::Unauthorized`] if accounts are configured, the route is not public, and the key is missing or unknown.
+/// [`ErrorKind::Unauthorized`] if accounts are configured, the route is not public, and the key is missing or
+/// unknown.
 pub fn account_of(
     accounts: Option<&AccountTable>,
     route: &RouteRule,
@@ -70,8 +72,8 @@
 
 /// Checks that an account was confirmed recently enough, because its key may have been revoked since.
 ///
-/// `confirmation_age` is the time since the platform last confirmed the accounts, `None` if it has not yet done so.
-/// `max_confirmation_age` is the maximum that the deployment allows; `None` disables the check.
+/// `confirmation_age` is the time since the platform last confirmed the accounts, `None` if it has not yet
+/// done so. `max_confirmation_age` is the maximum that the deployment allows; `None` disables the check.
 ///
 /// # Errors
 ///
--- a/crates/pointvane-dispatch/src/fingerprint.rs
+++ b/crates/pointvane-dispatch/src/fingerprint.rs
@@ -1,13 +1,15 @@
 //! Request fingerprints: the single definition of which requests are repetitions of the same one.
 //!
-//! A crash is caused by what the upstream receives. A fingerprint therefore covers the method, host, path, credentials,
-//! and the length and first [`FINGERPRINT_BODY_BYTES`] of the body. Each request has two fingerprints, one with its query
-//! and one for any query, because callers vary the query for the same work (page numbers, cache-busting timestamps).
+//! A crash is caused by what the upstream receives. A fingerprint therefore covers the method, host, path,
+//! credentials, and the length and first [`FINGERPRINT_BODY_BYTES`] of the body. Each request has two
+//! fingerprints, one with its query and one for any query, because callers vary the query for the same work
+//! (page numbers, cache-busting timestamps).
 //!
-//! The caller's address is excluded: upstreams do not receive it, and it differs between the VMs of one client account.
-//! Copies of one request that crashed 50 upstream processes arrived simultaneously at nodes in data centres to which the
-//! directory sends different callers. The attempt's identity, the deadline and all other headers are excluded because
-//! they differ on every attempt. A request with another path or body has another fingerprint.
+//! The caller's address is excluded: upstreams do not receive it, and it differs between the VMs of one
+//! client account. Copies of one request that crashed 50 upstream processes arrived simultaneously at nodes
+//! in data centres to which the directory sends different callers. The attempt's identity, the deadline and
+//! all other headers are excluded because they differ on every attempt. A request with another path or body
+//! has another fingerprint.
 //!
 //! Tests: `tests/fingerprint.rs`; cost: `benches/quarantine.rs`.
 
@@ -17,16 +19,18 @@
     std::fmt,
 };
 
-/// Number of leading body bytes covered by a fingerprint. Bounds the cost for long bodies and for streamed ones, of
-/// which only a prefix is available.
+/// Number of leading body bytes covered by a fingerprint. Bounds the cost for long bodies and for streamed
+/// ones, of which only a prefix is available.
 ///
-/// Hashing this many bytes takes 12 us of CPU time (`benches/quarantine.rs`). It is done for every streamed body, for
-/// others only after a crash. Requests of equal length that differ only after this prefix have the same fingerprint.
+/// Hashing this many bytes takes 12 us of CPU time (`benches/quarantine.rs`). It is done for every streamed
+/// body, for others only after a crash. Requests of equal length that differ only after this prefix have the
+/// same fingerprint.
 pub const FINGERPRINT_BODY_BYTES: usize = 16 << 10;
 
 /// Fingerprint of a request without its query and body. Cheap to compute and enough to rule out most requests.
 ///
-/// With 512 tracked requests, the probability that any of 10^9 other requests collides with one is 1 in 3 * 10^7.
+/// With 512 tracked requests, the probability that any of 10^9 other requests collides with one of them is
+/// 1 in 3 * 10^7.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HeadFingerprint(u64);
 
@@ -82,8 +86,8 @@
 }
 
 impl BodyFingerprint {
-    /// Computes the fingerprint of a body or of its prefix. `length` is the length of the whole body in bytes; `None` if
-    /// the sender did not announce it and the body has not arrived completely.
+    /// Computes the fingerprint of a body or of its prefix. `length` is the length of the whole body in
+    /// bytes; `None` if the sender did not announce it and the body has not arrived completely.
     pub fn new(body: &[u8], length: Option<u64>) -> Self {
         let mut hash = Sha256::new();
         hash.update(length.unwrap_or(u64::MAX).to_be_bytes());
--- a/crates/pointvane-dispatch/src/limits.rs
+++ b/crates/pointvane-dispatch/src/limits.rs
@@ -1,10 +1,12 @@
-//! Request limits advertised by upstreams, which apply to all nodes together, and their announcement between nodes.
+//! Request limits advertised by upstreams, which apply to all nodes together, and their announcement between
+//! nodes.
 //!
-//! [`pointvane_core::RequestLimit`] decides which share of a limit this node may use and for how long; `eligibility.rs`
-//! decides whether an upstream may receive work at all. Inputs: response headers, messages from other nodes, this node's
-//! place among the nodes that use the upstream, and the monotonic clock. A message refers to one incarnation of an
-//! upstream and is ignored if the upstream is unknown or has another incarnation. After a limit is lifted, this node
-//! returns to the upstream in the same way as after a back-off.
+//! [`pointvane_core::RequestLimit`] decides which share of a limit this node may use and for how long;
+//! `eligibility.rs` decides whether an upstream may receive work at all. Inputs: response headers, messages
+//! from other nodes, this node's place among the nodes that use the upstream, and the monotonic clock. A
+//! message refers to one incarnation of an upstream and is ignored if the upstream is unknown or has another
+//! incarnation. After a limit is lifted, this node returns to the upstream in the same way as after a
+//! back-off.
 //!
 //! Tests: `tests/limits.rs`, fleet simulations: `tests/limits_fleet.rs`.
 
@@ -40,7 +42,8 @@
 pub struct LimitAnnouncement {
     /// Identity of the upstream.
     pub upstream: Name,
-    /// Start time of this incarnation, in milliseconds since the Unix epoch; `None` if its directory entry has none.
+    /// Start time of this incarnation, in milliseconds since the Unix epoch; `None` if its directory entry
+    /// has none.
     pub born_ms: Option<u64>,
     /// Limit in requests per 1,000 seconds; `None` if the upstream no longer advertises one.
     pub per_1000_s: Option<u32>,
@@ -49,8 +52,8 @@
 }
 
 impl Pool {
-    /// Records the limit that an upstream advertised, or did not advertise, in a response. `sent_at_us` is the time at
-    /// which the request was sent, `None` for a probe.
+    /// Records the limit that an upstream advertised, or did not advertise, in a response. `sent_at_us` is
+    /// the time at which the request was sent, `None` for a probe.
     pub fn record_limit(
         &mut self,
         key: UpstreamKey,
@@ -64,8 +67,8 @@
         change
     }
 
-    /// Applies another node's announcement of an upstream's limit. Returns `None` if it changes nothing, the upstream is
-    /// unknown, or the announcement refers to another incarnation.
+    /// Applies another node's announcement of an upstream's limit. Returns `None` if it changes nothing, the
+    /// upstream is unknown, or the announcement refers to another incarnation.
     pub fn receive_limit(
         &mut self,
         announced: &LimitAnnouncement,
@@ -92,7 +95,8 @@
         expired
     }
 
-    /// Updates the set of limited upstreams and schedules this node's return to an upstream whose limit was lifted.
+    /// Updates the set of limited upstreams and schedules this node's return to an upstream whose limit was
+    /// lifted.
     fn apply_limit_change(&mut self, key: UpstreamKey, change: Option<LimitChange>, now_us: u64) {
         match change {
             Some(LimitChange::Set(_)) => _ = self.limited.insert(key),
@@ -124,7 +128,8 @@
         }
     }
 
-    /// Returns the announcements due now. Stops tracking upstreams that have neither a limit nor a pending announcement.
+    /// Returns the announcements due now. Stops tracking upstreams that have neither a limit nor a pending
+    /// announcement.
     pub fn take_limit_announcements(&mut self, now_us: u64) -> Vec<LimitAnnouncement> {
         let count = self.limited.len();
         let mut announcements = Vec::new();
@@ -144,8 +149,8 @@
         announcements
     }
 
-    /// Returns an upstream of the service to which the next request should be sent to learn whether its limit still
-    /// applies.
+    /// Returns an upstream of the service to which the next request should be sent to learn whether its limit
+    /// still applies.
     pub fn limit_to_refresh(&self, service: &Name, wanted: &Wanted<'_>, now_us: u64) -> Option<UpstreamKey> {
         self.limited.iter().copied().find(|key| {
             let is_due = |state: &UpstreamState| {
--- a/crates/pointvane-dispatch/src/notices.rs
+++ b/crates/pointvane-dispatch/src/notices.rs
@@ -1,18 +1,19 @@
 //! Notices in response headers: an upstream asks for a back-off or announces that it is leaving.
 //!
-//! A notice takes effect as soon as the response head of a request or probe has been read. Inputs: the notice, the
-//! incarnation of the upstream to which the request was sent, the monotonic clock, the number of nodes, and the number
-//! of upstreams in the service.
+//! A notice takes effect as soon as the response head of a request or probe has been read. Inputs: the
+//! notice, the incarnation of the upstream to which the request was sent, the monotonic clock, the number of
+//! nodes, and the number of upstreams in the service.
 //!
 //! - Both notices are binding, even if the service has no other upstream (`eligibility.rs`).
-//! - Both apply to this node only and are not forwarded. A back-off is requested of one node, and each node learns of a
-//!   departure from the upstream itself or from the platform (docs/design/backing-off.md).
-//! - No notice cancels another: a shorter back-off does not shorten a longer one, and a directory entry that says "ready"
-//!   does not revoke a departure.
-//! - Notices survive the removal and return of the directory entry of the same incarnation, provided the entry states
-//!   when the incarnation started.
-//! - A new incarnation does not inherit them, with one exception: if the previous one was backing off, the new one is
-//!   sent a single trial request at first, because it may itself have sent the notice before its entry was known.
+//! - Both apply to this node only and are not forwarded. A back-off is requested of one node, and each node
+//!   learns of a departure from the upstream itself or from the platform (docs/design/backing-off.md).
+//! - No notice cancels another: a shorter back-off does not shorten a longer one, and a directory entry that
+//!   says "ready" does not revoke a departure.
+//! - Notices survive the removal and return of the directory entry of the same incarnation, provided the
+//!   entry states when the incarnation started.
+//! - A new incarnation does not inherit them, with one exception: if the previous one was backing off, the
+//!   new one is sent a single trial request at first, because it may itself have sent the notice before its
+//!   entry was known.
 //! - Notices from an incarnation that is no longer known are ignored.
 //!
 //! Tests: `tests/notices.rs`, fleet simulations: `tests/notices_fleet.rs`.
@@ -38,14 +39,14 @@
     pub backing_off: usize,
     /// Number of upstreams that have reached their request limit.
     pub limited: usize,
-    /// Time until the first upstream that is backing off or limited may receive work, in milliseconds, rounded up;
-    /// `None` if there is no such upstream.
+    /// Time until the first upstream that is backing off or limited may receive work, in milliseconds,
+    /// rounded up; `None` if there is no such upstream.
     pub back_in_ms: Option<u64>,
 }
 
 impl Pool {
-    /// Records that an upstream asked for a back-off of `for_us`. Returns the whole time for which this node sends it
-    /// nothing, in microseconds, if that extends the current back-off.
+    /// Records that an upstream asked for a back-off of `for_us`. Returns the whole time for which this node
+    /// sends it nothing, in microseconds, if that extends the current back-off.
     pub fn record_back_off(&mut self, key: UpstreamKey, for_us: u64, now_us: u64) -> Option<u64> {
         let record = &self.upstreams.get(&key)?.record;
         let (nodes, slots) = (self.nodes_using(&record.service), record.slots);
@@ -54,7 +55,8 @@
         state.notices.backoff.asked(for_us, jitter_us, now_us).then_some(for_us + jitter_us)
     }
 
-    /// Returns how many nodes use each upstream of a service. In a large service, each node uses only a subset.
+    /// Returns how many nodes use each upstream of a service. In a large service, each node uses only a
+    /// subset.
     pub(crate) fn nodes_using(&self, service: &Name) -> usize {
         let (nodes, upstreams) =
             (self.warm_up.nodes(), self.by_service.get(service).map_or(0, ServiceUpstreams::len));
@@ -67,13 +69,14 @@
         state.is_some_and(|state| !mem::replace(&mut state.notices.is_leaving, true))
     }
 
-    /// Records the end of a request on an upstream; returns true if that ends the trial phase after a back-off.
+    /// Records the end of a request on an upstream; returns true if that ends the trial phase after a
+    /// back-off.
     pub fn record_return(&mut self, key: UpstreamKey, ran: bool, now_us: u64) -> bool {
         self.upstreams.get_mut(&key).is_some_and(|state| state.notices.backoff.send_ended(ran, now_us))
     }
 
-    /// Returns why no upstream of a service may receive work of a priority; `None` if one may, or if the service is
-    /// unknown.
+    /// Returns why no upstream of a service may receive work of a priority; `None` if one may, or if the
+    /// service is unknown.
     pub fn withheld(&self, service: &Name, priority: u32, now_us: u64) -> Option<WithheldService> {
         let mut withheld = WithheldService { upstreams: 0, backing_off: 0, limited: 0, back_in_ms: None };
         for key in self.by_service.get(service)?.keys() {
--- a/crates/pointvane-dispatch/src/quarantine.rs
+++ b/crates/pointvane-dispatch/src/quarantine.rs
@@ -1,24 +1,27 @@
-//! Quarantine: stops sending a request to further upstreams after several of them have crashed while running it.
+//! Quarantine: stops sending a request to further upstreams after several of them have crashed while running
+//! it.
 //!
-//! A crash may be caused by the request instead of the upstream. When each node tracked only upstream health, and only
-//! from its own observations, one read request crashed 50 upstream processes of a service with 28 upstreams, one or two
-//! through each node that received it (docs/incidents/2026-12-03-requests-that-crash-upstreams.md).
+//! A crash may be caused by the request instead of the upstream. When each node tracked only upstream health,
+//! and only from its own observations, one read request crashed 50 upstream processes of a service with 28
+//! upstreams, one or two through each node that received it
+//! (docs/incidents/2026-12-03-requests-that-crash-upstreams.md).
 //!
-//! The check runs before each search for an upstream and again immediately before each send, so that queued, hedged,
-//! retried and early-forwarded requests, and those whose search is in progress, respect evidence that arrived in the
-//! meantime. Inputs: crashes and successful runs observed by this node or reported by others, the monotonic clock, and
-//! the number of nodes. Request identity is defined in `fingerprint.rs`, the evidence rules in
-//! `quarantine/crash_history.rs`.
+//! The check runs before each search for an upstream and again immediately before each send, so that queued,
+//! hedged, retried and early-forwarded requests, and those whose search is in progress, respect evidence that
+//! arrived in the meantime. Inputs: crashes and successful runs observed by this node or reported by others,
+//! the monotonic clock, and the number of nodes. Request identity is defined in `fingerprint.rs`, the
+//! evidence rules in `quarantine/crash_history.rs`.
 //!
-//! A request is quarantined once [`QuarantineOptions::after_crashes`] upstreams have crashed under it in sequence
-//! without a successful run since, according to this node's own evidence or the evidence of at least two nodes. No node
-//! sends it until the hold time has passed. Trials follow: one run at a time per node, on few nodes at first and on
-//! twice as many every two seconds. A crash starts another quarantine four times as long; a success ends the quarantine
-//! on all nodes. The evidence expires ten minutes after the hold time; a later request starts with a clean history.
+//! A request is quarantined once [`QuarantineOptions::after_crashes`] upstreams have crashed under it in
+//! sequence without a successful run since, according to this node's own evidence or the evidence of at least
+//! two nodes. No node sends it until the hold time has passed. Trials follow: one run at a time per node, on
+//! few nodes at first and on twice as many every two seconds. A crash starts another quarantine four times as
+//! long; a success ends the quarantine on all nodes. The evidence expires ten minutes after the hold time; a
+//! later request starts with a clean history.
 //!
-//! Missing or late evidence delays a quarantine and never causes one. Invariant: a request is never refused unless an
-//! upstream has crashed while running it (`tests/quarantine.rs`). Fleet simulations: `tests/quarantine_fleet.rs`;
-//! alternatives considered: docs/design/crashing-requests.md.
+//! Missing or late evidence delays a quarantine and never causes one. Invariant: a request is never refused
+//! unless an upstream has crashed while running it (`tests/quarantine.rs`). Fleet simulations:
+//! `tests/quarantine_fleet.rs`; alternatives considered: docs/design/crashing-requests.md.
 
 mod crash_history;
 mod news;
@@ -40,11 +43,11 @@
 
 /// Factor by which each further crash lengthens the hold time.
 ///
-/// With the default [`QuarantineOptions::hold_ms`], trials take place after 2, 10, 42 and 170 s, so a request that is
-/// repeated continuously crashes three upstreams in trials within two and a half minutes.
+/// With the default [`QuarantineOptions::hold_ms`], trials take place after 2, 10, 42 and 170 s, so a request
+/// that is repeated continuously crashes three upstreams in trials within two and a half minutes.
 const HOLD_GROWTH: i64 = 4;
-/// Longest hold time, in microseconds. Bounds the cost of detecting that a request has become harmless to one upstream
-/// crash per hour.
+/// Longest hold time, in microseconds. Bounds the cost of detecting that a request has become harmless to one
+/// upstream crash per hour.
 const HOLD_MAX_US: i64 = 3_600 * US_PER_S as i64;
 /// Time for which evidence is retained after the hold time has passed, in microseconds.
 const RETENTION_US: i64 = 600 * US_PER_S as i64;
@@ -52,15 +55,18 @@
 ///
 /// Must exceed the time for which a node can be paused or partitioned; such faults have lasted up to 20 s.
 const SUCCESS_RETENTION_US: i64 = 60 * US_PER_S as i64;
-/// Time in which the number of nodes that may run a trial doubles, in microseconds: 22 s until all of 1,800 nodes may.
+/// Time in which the number of nodes that may run a trial doubles, in microseconds: 22 s until all of 1,800
+/// nodes may.
 const TRIAL_DOUBLING_US: i64 = 2 * US_PER_S as i64;
-/// Shortest time between two trials on one node, in microseconds. Longer for requests that ran longer before crashing.
+/// Shortest time between two trials on one node, in microseconds. Longer for requests that ran longer before
+/// crashing.
 const TRIAL_INTERVAL_MIN_US: i64 = US_PER_S as i64;
-/// Maximum number of tracked requests. Bounds memory to about 200 KB and exceeds the number of requests in progress on
-/// the upstreams of one rack. When full, the request with the fewest crashes is evicted, the oldest among equals.
+/// Maximum number of tracked requests. Bounds memory to about 200 KB and exceeds the number of requests in
+/// progress on the upstreams of one rack. When full, the request with the fewest crashes is evicted, the
+/// oldest among equals.
 const SUSPECTS_MAX: usize = 512;
-/// Gossip rounds in which changed evidence is forwarded. Each node thus sends it to 12 others, so that one node in
-/// 160,000 receives none of these datagrams.
+/// Gossip rounds in which changed evidence is forwarded. Each node thus sends it to 12 others, so that one
+/// node in 160,000 receives none of these datagrams.
 const GOSSIP_ROUNDS: u8 = 6;
 
 /// Settings for when a request is quarantined and for how long.
@@ -74,10 +80,11 @@
 
 /// Two sequential crashes and 2 s.
 ///
-/// In simulated fleets of 18 nodes, four repeated requests crash at most 30 upstreams; a threshold of three crashes
-/// raises this to 34. If all 36 upstreams crash one after another within 3.6 s for an unrelated reason, at most 68 of
-/// 6,094 attempts are refused wrongly; a hold time of 8 s raises this to 163, a threshold of three crashes lowers it to
-/// 37. If they crash simultaneously, none is refused (`tests/quarantine_fleet.rs`).
+/// In simulated fleets of 18 nodes, four repeated requests crash at most 30 upstreams; a threshold of three
+/// crashes raises this to 34. If all 36 upstreams crash one after another within 3.6 s for an unrelated
+/// reason, at most 68 of 6,094 attempts are refused wrongly; a hold time of 8 s raises this to 163, a
+/// threshold of three crashes lowers it to 37. If they crash simultaneously, none is refused
+/// (`tests/quarantine_fleet.rs`).
 impl Default for QuarantineOptions {
     fn default() -> Self {
         Self { after_crashes: 2, hold_ms: 2_000 }
@@ -87,7 +94,8 @@
 /// Position of this node in the order in which nodes may try a request after its hold time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrialTurn {
-    /// Position from 0 to 1, derived from the request and the node so that the order of nodes differs between requests.
+    /// Position from 0 to 1, derived from the request and the node so that the order of nodes differs between
+    /// requests.
     pub position: f64,
     /// Number of nodes in the fleet.
     pub nodes: usize,
@@ -142,8 +150,8 @@
 }
 
 impl Quarantine {
-    /// Creates an empty quarantine. `reporter` is this node's identity. Its crashes are numbered from `first_number`,
-    /// which must exceed every number used by an earlier process of the same node.
+    /// Creates an empty quarantine. `reporter` is this node's identity. Its crashes are numbered from
+    /// `first_number`, which must exceed every number used by an earlier process of the same node.
     pub fn new(options: QuarantineOptions, reporter: u64, first_number: u64) -> Self {
         Self {
             options,
@@ -155,8 +163,8 @@
         }
     }
 
-    /// Returns true if a tracked request has this head. Cheap, and false for nearly all requests; `head` is only
-    /// evaluated if any request is tracked.
+    /// Returns true if a tracked request has this head. Cheap, and false for nearly all requests; `head` is
+    /// only evaluated if any request is tracked.
     pub fn may_know(&self, head: impl FnOnce() -> HeadFingerprint) -> bool {
         !self.suspects_per_head.is_empty() && self.suspects_per_head.contains_key(&head())
     }
@@ -167,8 +175,8 @@
         suspect.is_some_and(|suspect| self.is_blocked(suspect, turn, now_us as i64))
     }
 
-    /// Records that a request is being sent after [`Quarantine::refuses`] returned false. If it is a trial, delays the
-    /// next trial on this node.
+    /// Records that a request is being sent after [`Quarantine::refuses`] returned false. If it is a trial,
+    /// delays the next trial on this node.
     pub fn begin_send(&mut self, request: &RequestFingerprint, now_us: u64) {
         if let Some(suspect) = self.suspects.get_mut(request)
             && suspect.reported_crashes > 0
--- a/crates/pointvane-dispatch/src/quarantine/crash_history.rs
+++ b/crates/pointvane-dispatch/src/quarantine/crash_history.rs
@@ -2,16 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of crashes retained for one request. Bounds memory and datagram size; the hold time has reached its
-/// maximum before this many crashes.
+/// Maximum number of crashes retained for one request. Bounds memory and datagram size; the hold time has
+/// reached its maximum before this many crashes.
 pub(super) const CRASHES_MAX: usize = 8;
-/// Resolution of ages in messages between nodes, in microseconds. Events no further apart may have been simultaneous.
+/// Resolution of ages in messages between nodes, in microseconds. Events no further apart may have been
+/// simultaneous.
 const AGE_RESOLUTION_US: i64 = 1_000;
-/// Minimum time between a crash reported by another node and the start of a run that counts as its successor, in
-/// microseconds. Exceeds the difference in latency between nodes and is shorter than the retry delay of callers.
+/// Minimum time between a crash reported by another node and the start of a run that counts as its successor,
+/// in microseconds. Exceeds the difference in latency between nodes and is shorter than the retry delay of
+/// callers.
 ///
-/// Without this gap, and with simultaneous crashes counted as sequential, up to 46 of 7,253 attempts were refused
-/// wrongly in simulated fleets whose upstreams all crashed at once, because some had just been sent; with it none.
+/// Without this gap, and with simultaneous crashes counted as sequential, up to 46 of 7,253 attempts were
+/// refused wrongly in simulated fleets whose upstreams all crashed at once, because some had just been sent;
+/// with it none.
 const REMOTE_GAP_MIN_US: i64 = 5_000;
 
 /// Identifies a crash under a request.
@@ -27,7 +30,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Crash {
     pub id: CrashId,
-    /// When the request was sent, in microseconds of this node's monotonic clock; negative if before that clock's zero.
+    /// When the request was sent, in microseconds of this node's monotonic clock; negative if before that
+    /// clock's zero.
     pub began_at_us: i64,
     /// When the crash was detected, in microseconds of the same clock.
     pub ended_at_us: i64,
@@ -48,8 +52,9 @@
 pub(super) struct CrashHistory {
     /// Sequential crashes, oldest first: each run began after the preceding crash.
     ///
-    /// If upstreams crash for another reason, such as a rack losing power, the requests running on them fail together.
-    /// A request that causes crashes causes them one after another. Overlapping runs therefore count once.
+    /// If upstreams crash for another reason, such as a rack losing power, the requests running on them fail
+    /// together. A request that causes crashes causes them one after another. Overlapping runs therefore
+    /// count once.
     crashes: Vec<Crash>,
     /// Time of the last known successful run, in microseconds of the monotonic clock.
     succeeded_at_us: Option<i64>,
@@ -79,21 +84,23 @@
 
     /// Returns true if all crashes were reported by the same node, other than `own`.
     ///
-    /// A faulty node, for example one behind a misconfigured firewall, sees refused connections from upstreams that
-    /// serve all other nodes.
+    /// A faulty node, for example one behind a misconfigured firewall, sees refused connections from
+    /// upstreams that serve all other nodes.
     pub fn has_single_remote_reporter(&self, own: u64) -> bool {
         let mut reporters = self.crashes.iter().map(|crash| crash.id.reporter);
         let first = reporters.next();
         first != Some(own) && reporters.all(|reporter| Some(reporter) == first)
     }
 
-    /// Adds a crash and returns true if it joined the sequence. Crashes may arrive repeatedly and in any order.
+    /// Adds a crash and returns true if it joined the sequence. Crashes may arrive repeatedly and in any
+    /// order.
     pub fn record_crash(&mut self, crash: Crash) -> bool {
         if self.succeeded_at_us.is_some_and(|succeeded_at_us| crash.ended_at_us <= succeeded_at_us) {
             return false;
         }
         if let Some(known) = self.crashes.iter_mut().find(|known| known.id == crash.id) {
-            // Network latency makes a reported crash appear later than it was, so the earliest time is the best one.
+            // Network latency makes a reported crash appear later than it was, so the earliest time is the
+            // best one.
             if crash.ended_at_us < known.ended_at_us {
                 *known = crash;
                 self.retain_sequential();
--- a/crates/pointvane-dispatch/src/quarantine/news.rs
+++ b/crates/pointvane-dispatch/src/quarantine/news.rs
@@ -1,4 +1,5 @@
-//! Messages between nodes about requests under which upstreams crash. Times are sent as ages because clocks differ.
+//! Messages between nodes about requests under which upstreams crash. Times are sent as ages because clocks
+//! differ.
 
 use {
     super::crash_history::{Crash, CrashHistory, CrashId},
--- a/crates/pointvane-dispatch/src/quarantine/spread.rs
+++ b/crates/pointvane-dispatch/src/quarantine/spread.rs
@@ -1,5 +1,5 @@
-//! Selects the quarantine evidence that is sent to other nodes: by broadcast, in gossip rounds, in pages, or in answer
-//! to a pull.
+//! Selects the quarantine evidence that is sent to other nodes: by broadcast, in gossip rounds, in pages, or
+//! in answer to a pull.
 
 use {
     super::{NEWS_MAX, Quarantine, Suspect, SuspectNews},
@@ -11,8 +11,8 @@
 const PULL_PAGES_MAX: usize = 4;
 
 impl Quarantine {
-    /// Returns evidence that this node has just observed itself and that is to be broadcast immediately, up to one
-    /// datagram per call.
+    /// Returns evidence that this node has just observed itself and that is to be broadcast immediately, up
+    /// to one datagram per call.
     pub fn take_urgent(&mut self, now_us: u64) -> Vec<SuspectNews> {
         let selected = self.newest_first(|suspect| suspect.broadcast_pending);
         self.build_messages(&selected, now_us, |suspect| suspect.broadcast_pending = false)
--- a/crates/pointvane-dispatch/tests/crash_fleet/mod.rs
+++ b/crates/pointvane-dispatch/tests/crash_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Discrete-event simulation of a fleet whose upstreams crash under some requests or for unrelated reasons. Time is
-//! simulated and all randomness is seeded.
+//! Discrete-event simulation of a fleet whose upstreams crash under some requests or for unrelated reasons.
+//! Time is simulated and all randomness is seeded.
 #![allow(dead_code)]
 
 use {
@@ -442,8 +442,8 @@
         }
     }
 
-    /// Pulls evidence from a random node and repeats that until one has answered. `to` is `usize::MAX` for the timer
-    /// that starts the next pull.
+    /// Pulls evidence from a random node and repeats that until one has answered. `to` is `usize::MAX` for
+    /// the timer that starts the next pull.
     fn pull(&mut self, from: usize, to: usize) {
         if to == usize::MAX {
             if !self.nodes[from].pull_answered {
--- a/crates/pointvane-dispatch/tests/limits_fleet.rs
+++ b/crates/pointvane-dispatch/tests/limits_fleet.rs
@@ -1,5 +1,5 @@
-//! Simulation of a fleet using one upstream that advertises a limit: requests received in the worst window, and
-//! utilization of the limit.
+//! Simulation of a fleet using one upstream that advertises a limit: requests received in the worst window,
+//! and utilization of the limit.
 
 use {
     googletest::prelude::*,
@@ -33,8 +33,8 @@
 enum Strategy {
     /// Each node uses an equal share once the upstream itself has notified it of the limit.
     EqualShares,
-    /// Each node sends each request with the probability at which the total matches the limit, as if the demand of all
-    /// nodes were known.
+    /// Each node sends each request with the probability at which the total matches the limit, as if the
+    /// demand of all nodes were known.
     Random,
     /// The production algorithm, `RequestLimit`.
     Production,
--- a/crates/pointvane-dispatch/tests/notices.rs
+++ b/crates/pointvane-dispatch/tests/notices.rs
@@ -1,4 +1,5 @@
-//! Back-off and leaving notices of upstreams: their effect, their scope, and services without a usable upstream.
+//! Back-off and leaving notices of upstreams: their effect, their scope, and services without a usable
+//! upstream.
 
 mod common;
 
@@ -120,7 +121,8 @@
     expect_that!(pool.begin_send(a, S + 3 * BACK_OFF_US), err(eq(Ineligible::BackingOff)));
 }
 
-/// Rewriting the entry as "ready", or removing and restoring it, does not revoke the notices of the same incarnation.
+/// Rewriting the entry as "ready", or removing and restoring it, does not revoke the notices of the same
+/// incarnation.
 #[gtest]
 fn notices_survive_changes_of_the_entry_of_the_same_incarnation() {
     let mut pool = pool(&["a", "b"]);
@@ -162,8 +164,9 @@
     }
 }
 
-/// A restarted upstream serves requests before its entry is updated, and responses do not name the incarnation, so the
-/// back-off may have come from the new one. If it did not, starting with a single request costs little.
+/// A restarted upstream serves requests before its entry is updated, and responses do not name the
+/// incarnation, so the back-off may have come from the new one. If it did not, starting with a single request
+/// costs little.
 #[gtest]
 fn new_incarnation_after_a_back_off_gets_a_single_trial_request_first() {
     for entry_goes_first in [false, true] {
@@ -188,8 +191,8 @@
     }
 }
 
-/// Without a start time it is unknown whether a returning entry belongs to the same incarnation. Treating it as the
-/// same would exclude the upstream permanently.
+/// Without a start time it is unknown whether a returning entry belongs to the same incarnation. Treating it
+/// as the same would exclude the upstream permanently.
 #[gtest]
 fn returning_entry_without_start_time_is_a_new_incarnation() {
     let mut pool = Pool::new(RankingOptions::default(), "one".into(), 1);
@@ -222,8 +225,8 @@
     expect_that!(search_result(&mut pool, S), eq(Found::Nothing(Ineligible::Draining)));
 }
 
-/// Six upstreams with random combinations of binding reasons: the request is refused at once with the time until the
-/// first upstream returns.
+/// Six upstreams with random combinations of binding reasons: the request is refused at once with the time
+/// until the first upstream returns.
 #[gtest]
 fn request_is_refused_with_time_of_first_return_when_no_upstream_is_left() {
     for seed in 0..200 {
@@ -291,8 +294,8 @@
     );
 }
 
-/// A request may be withheld because another one started a trial after its search. Ending that trial by mistake would
-/// let a third request run beside it.
+/// A request may be withheld because another one started a trial after its search. Ending that trial by
+/// mistake would let a third request run beside it.
 #[gtest]
 fn withheld_attempt_does_not_end_a_trial() {
     for reason in [Ineligible::BackingOff, Ineligible::Draining, Ineligible::Gone] {
--- a/crates/pointvane-dispatch/tests/notices_fleet.rs
+++ b/crates/pointvane-dispatch/tests/notices_fleet.rs
@@ -1,5 +1,5 @@
-//! Simulation of a fleet whose nodes all received the same back-off at the same time: load on each upstream when it
-//! ends, and time until the service has recovered.
+//! Simulation of a fleet whose nodes all received the same back-off at the same time: load on each upstream
+//! when it ends, and time until the service has recovered.
 
 mod common;
 
@@ -59,13 +59,15 @@
 /// Results of a simulation.
 #[derive(Debug, Default)]
 struct Results {
-    /// Maximum number of requests that one upstream received in the first [`FIRST_PERIOD_MS`] after the back-off.
+    /// Maximum number of requests that one upstream received in the first [`FIRST_PERIOD_MS`] after the
+    /// back-off.
     max_first_period_requests: usize,
     /// Number of requests that found no free slot.
     rejected: usize,
     served: usize,
     offered: usize,
-    /// Time after the back-off until upstreams run at least nine tenths of the requests of one period, in milliseconds.
+    /// Time after the back-off until upstreams run at least nine tenths of the requests of one period, in
+    /// milliseconds.
     recovered_after_ms: Option<u64>,
 }
 
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Handles a request that arrives at a node. Returns the index of the upstream that received it, and whether that
-    /// upstream runs it.
+    /// Handles a request that arrives at a node. Returns the index of the upstream that received it, and
+    /// whether that upstream runs it.
     fn request(&mut self, node: usize, now_ms: u64) -> Option<(usize, bool)> {
         let (pool, _) = &mut self.pools[node];
         if self.strategy == ReturnStrategy::AtOnce && now_ms < BACK_OFF_MS {
@@ -205,8 +207,8 @@
     UpstreamLoad { running, waiting: 0, slots, slowdown_percent: 100 }
 }
 
-/// Number of requests that an upstream can take in the first period: those that its slots run, and as many waiting as it
-/// has slots.
+/// Number of requests that an upstream can take in the first period: those that its slots run, and as many
+/// waiting as it has slots.
 fn capacity(scenario: &Scenario) -> usize {
     let runs = (u64::from(scenario.slots) * FIRST_PERIOD_MS).div_ceil(scenario.service_time_ms) as usize;
     runs.max(scenario.slots as usize) + scenario.slots as usize
--- a/crates/pointvane-dispatch/tests/quarantine.rs
+++ b/crates/pointvane-dispatch/tests/quarantine.rs
@@ -75,7 +75,8 @@
     let mut node = node(1);
     let request = request("/popular");
     for run in 0..20 {
-        // Sent at various times before the upstreams lost power, with the crash detected at various times after.
+        // Sent at various times before the upstreams lost power, with the crash detected at various times
+        // after.
         node.crashed(request, S + run * 3 * MS, S + 100 * MS + run * 40 * MS);
     }
     expect_that!(refused(&node, request, 2 * S), eq(false));
@@ -219,8 +220,8 @@
     }
 }
 
-/// The clock of a suspended node stands still, so the ages that it reports are too low by the time of suspension and
-/// the quarantine lasts longer by that time.
+/// The clock of a suspended node stands still, so the ages that it reports are too low by the time of
+/// suspension and the quarantine lasts longer by that time.
 #[gtest]
 fn crashes_reported_by_a_suspended_node_appear_newer_and_hold_longer() {
     let (mut suspended, mut other) = (node(1), node(2));
--- a/crates/pointvane-dispatch/tests/quarantine_fleet.rs
+++ b/crates/pointvane-dispatch/tests/quarantine_fleet.rs
@@ -1,5 +1,5 @@
-//! Fleet simulations of quarantine: upstream crashes under crashing requests, and false refusals of harmless requests
-//! when upstreams crash for unrelated reasons.
+//! Fleet simulations of quarantine: upstream crashes under crashing requests, and false refusals of harmless
+//! requests when upstreams crash for unrelated reasons.
 //!
 //! `POINTVANE_QUARANTINE_ALL=1 cargo test --release -p pointvane-dispatch --test quarantine_fleet -- --nocapture`
 //! prints the figures of docs/design/crashing-requests.md.
@@ -46,7 +46,8 @@
     if runs_all() { full } else { ci }
 }
 
-/// Four batches in two minutes. In each, several callers send the same crashing request, twelve times in twelve seconds.
+/// Four batches in two minutes. In each, several callers send the same crashing request, twelve times in
+/// twelve seconds.
 fn repeated_requests(
     design: Design,
     nodes: usize,
@@ -152,7 +153,8 @@
                 stats.false_refusals, stats.harmless_attempts
             );
             if design == DEFAULT_DESIGN {
-                // If all upstreams crash one after another within 3.6 s, at most one attempt in 50 may be refused.
+                // If all upstreams crash one after another within 3.6 s, at most one attempt in 50 may be
+                // refused.
                 let refusals_max =
                     if pattern == "one after the other" { stats.harmless_attempts / 50 } else { 0 };
                 expect_that!(stats.false_refusals, le(refusals_max), "{pattern}");
@@ -178,7 +180,8 @@
     expect_that!(stats.peak_bytes_per_s, le(18_000));
 }
 
-/// Time from the end of a node's fault until it refuses a request quarantined in the meantime, in milliseconds.
+/// Time from the end of a node's fault until it refuses a request quarantined in the meantime, in
+/// milliseconds.
 fn catch_up_ms(fault: Fault, fault_end_us: u64, seed: u64) -> u64 {
     const NODE: usize = 17;
     let mut fleet = CrashFleet::new(DEFAULT_DESIGN, 18, 36, 0.0, seed);
