--- a/crates/pointvane-dispatch/src/quarantine.rs
+++ b/crates/pointvane-dispatch/src/quarantine.rs
@@ -80,7 +80,7 @@
 
 /// Two sequential crashes and 2 s.
 ///
-/// In simulated fleets of 18 nodes, four repeated requests crash at most 30 upstreams; a threshold of three
+/// In 20 simulated runs with 18 nodes, four repeated requests crash at most 30 upstreams; a threshold of three
 /// crashes raises this to 34. If all 36 upstreams crash one after another within 3.6 s for an unrelated
 /// reason, at most 68 of 6,094 attempts are refused wrongly; a hold time of 8 s raises this to 163, a
 /// threshold of three crashes lowers it to 37. If they crash simultaneously, none is refused
--- a/crates/pointvane-dispatch/src/quarantine/crash_history.rs
+++ b/crates/pointvane-dispatch/src/quarantine/crash_history.rs
@@ -84,7 +84,7 @@
 
     /// Returns true if all crashes were reported by the same node, other than `own`.
     ///
-    /// A faulty node, for example one behind a misconfigured firewall, sees refused connections from
+    /// A faulty node, for example one behind its own firewall, sees refused connections from
     /// upstreams that serve all other nodes.
     pub fn has_single_remote_reporter(&self, own: u64) -> bool {
         let mut reporters = self.crashes.iter().map(|crash| crash.id.reporter);
