--- a/crates/pointvane-node/src/access.rs
+++ b/crates/pointvane-node/src/access.rs
@@ -1,4 +1,4 @@
-//! Access of callers: the key that a request presents, its client account, and what it takes of the account's quota.
+//! Caller authorization: the API key of a request, its client account and the charge on the account's quota.
 
 use {
     crate::{answer::Refused, node::Node, quota::QuotaCharge, request::CallerRequest},
@@ -9,7 +9,8 @@
 };
 
 impl<A: PlatformAdapter> Node<A> {
-    /// Digest of the key that a request presents; none if it presents none, or more than one.
+    /// Digest of the API key in the `Authorization` header; none if the header is missing, repeated or holds
+    /// no key.
     pub fn presented_key(&self, headers: &HeaderMap) -> Option<KeyDigest> {
         let mut values = headers.get_all(AUTHORIZATION).iter();
         match (values.next(), values.next()) {
@@ -18,10 +19,10 @@
         }
     }
 
-    /// The request of the client account that holds its key.
+    /// Attaches the client account of the presented key to a routed request.
     ///
     /// # Errors
-    /// Why it is not served.
+    /// When the route does not admit the key, or the accounts were last confirmed too long ago.
     pub fn authorize(
         &self,
         routed: RoutedRequest,
@@ -33,10 +34,10 @@
         Ok(routed.of_account(account))
     }
 
-    /// Takes a request's part of its account's quota; none if it has no account, or that no quota.
+    /// Charges a request to its account's quota; none if it has no account, or the account has no quota.
     ///
     /// # Errors
-    /// When the quota is used up.
+    /// [`ErrorKind::QuotaExceeded`] with a time to retry when the quota is used up.
     pub fn charge(&self, routed: &RoutedRequest) -> Result<Option<QuotaCharge>, Refused> {
         let Some(account) = &routed.account else { return Ok(None) };
         let Some(quota) = account.quota else { return Ok(None) };
@@ -57,14 +58,15 @@
         }
     }
 
-    /// Whether the key of a request still counts for the same account, or for none as before.
-    pub fn may_use_key(&self, request: &CallerRequest) -> bool {
+    /// Whether the key of a request still maps to the same account, or to none as before, in the current
+    /// configuration.
+    pub fn is_key_still_valid(&self, request: &CallerRequest) -> bool {
         let routes = self.dispatcher.routes();
         if routes.version() == request.routed.version {
             return true;
         }
         let account = routes.account_of(&request.routed.route, request.key.as_ref());
-        let before = request.routed.account.as_ref().map(|account| &account.name);
-        account.is_ok_and(|account| account.as_ref().map(|account| &account.name) == before)
+        let account_before = request.routed.account.as_ref().map(|account| &account.name);
+        account.is_ok_and(|account| account.as_ref().map(|account| &account.name) == account_before)
     }
 }
--- a/crates/pointvane-node/src/answer.rs
+++ b/crates/pointvane-node/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the node itself: refusals by the table of error kinds, and short texts.
+//! Responses that the node generates itself: errors from the table of error kinds, and short texts.
 
 use {
     crate::{connections::RelayBody, node::Node},
@@ -11,19 +11,19 @@
     pointvane_dispatch::{RETRY_AFTER_DEFAULT_MS, WithheldService},
 };
 
-/// Milliseconds in a second, the unit of the header.
+/// Milliseconds in a second, the unit of `Retry-After`.
 const MS_PER_S: f64 = 1_000.0;
 
-/// A request that the system itself answers.
+/// A request that the node answers with an error instead of an upstream's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// Why.
+    /// The error.
     pub kind: ErrorKind,
-    /// The status, where it is not the table's.
+    /// HTTP status that overrides the one in the table of error kinds.
     pub status: Option<StatusCode>,
-    /// When the caller should retry, where it is not the usual time, in milliseconds.
+    /// Time after which the caller should retry, in milliseconds; [`RETRY_AFTER_DEFAULT_MS`] if none.
     pub retry_after_ms: Option<u32>,
-    /// What keeps work from the request's service, if no upstream of it may get any.
+    /// Why the upstreams of the request's service accept no requests, if none of them does.
     pub withheld: Option<WithheldService>,
 }
 
@@ -33,8 +33,8 @@
     }
 }
 
-/// The answer to a refused request, with the identity that its caller gave it.
-pub fn refusal<A: PlatformAdapter>(
+/// Builds the response to a refused request; `id` is the request id that the caller sent, which is echoed.
+pub fn refusal_response<A: PlatformAdapter>(
     node: &Node<A>,
     refused: Refused,
     id: Option<HeaderValue>,
@@ -42,7 +42,7 @@
     let row = refused.kind.answer();
     let text = format!("{}\n", row.name);
     let mut response = Response::new(RelayBody::whole(Bytes::from(text)));
-    // The table holds valid statuses only.
+    // The table holds only valid statuses, so the fallback is never taken.
     let status = StatusCode::from_u16(row.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     *response.status_mut() = refused.status.unwrap_or(status);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
@@ -51,7 +51,7 @@
     }
     if row.retry_after {
         let seconds = f64::from(refused.retry_after_ms.unwrap_or(RETRY_AFTER_DEFAULT_MS)) / MS_PER_S;
-        // Digits and a point are always a header's value.
+        // Digits and a decimal point always form a valid header value.
         if let Ok(value) = HeaderValue::from_str(&format!("{seconds:.3}")) {
             response.headers_mut().insert(RETRY_AFTER, value);
         }
@@ -59,7 +59,7 @@
     response
 }
 
-/// A short text, for readiness, the directory and the operator port.
+/// Builds a response with a text body, for readiness, the directory and the operator port.
 pub fn short(status: StatusCode, content_type: &'static str, text: String) -> Response<RelayBody> {
     let mut response = Response::new(RelayBody::whole(Bytes::from(text)));
     *response.status_mut() = status;
--- a/crates/pointvane-node/src/attempt.rs
+++ b/crates/pointvane-node/src/attempt.rs
@@ -1,10 +1,10 @@
-//! One attempt of a request: search an upstream, send, and record how it went.
+//! One attempt of a request: finds an upstream, sends the request and records the outcome.
 
 use {
     crate::{
         connections::RelayBody,
         crash_check::has_crashed,
-        exchange::{Exchanged, exchange},
+        exchange::{ExchangeResult, exchange},
         in_flight::InFlight,
         node::Node,
         probe::search,
@@ -21,12 +21,12 @@
     std::rc::Rc,
 };
 
-/// What one attempt gave.
+/// Result of an attempt.
 #[derive(Debug)]
 pub struct AttemptReport {
-    /// How it ended.
+    /// How the attempt ended.
     pub end: AttemptEnd,
-    /// The upstream's answer, if there is one.
+    /// The upstream's response, if there is one.
     pub answer: Option<Response<RelayBody>>,
 }
 
@@ -36,36 +36,36 @@
     }
 }
 
-/// Which attempt of its request it is.
+/// Role of an attempt among those of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptPlace {
-    /// The first, or one in place of another that ended.
-    Alone,
-    /// One beside another that is under way.
+pub enum AttemptRole {
+    /// The first attempt, or a retry after another ended.
+    Primary,
+    /// An attempt that runs in parallel with another.
     Hedge,
 }
 
-/// Times of an attempt, in milliseconds.
+/// Durations of the phases of an attempt, in milliseconds.
 struct AttemptTimes {
     search_ms: u64,
     latency_ms: u64,
 }
 
-/// How an attempt ended, for its line.
+/// How an attempt ended, for its log line.
 struct AttemptEnding {
     outcome: AttemptOutcome,
     retry_after: Option<String>,
 }
 
-/// Makes one attempt.
+/// Runs one attempt to its end.
 pub async fn attempt<A: PlatformAdapter + 'static>(
     node: Rc<Node<A>>,
     request: Rc<CallerRequest>,
     goal: SearchGoal,
-    place: AttemptPlace,
+    role: AttemptRole,
 ) -> AttemptReport {
     let began_us = node.now_us();
-    let key = match admitted_upstream(&node, &request, goal).await {
+    let key = match find_admitting_upstream(&node, &request, goal).await {
         Ok(key) => key,
         Err(end) => return end.into(),
     };
@@ -75,28 +75,28 @@
     };
     let sent_at_us = node.now_us();
     let in_flight = InFlight::start(&node, &request, key, unresponsive_after(&node, &request, &snapshot));
-    let Exchanged { answer, retry_after } = exchange(&node, &request, key).await;
+    let ExchangeResult { answer, retry_after } = exchange(&node, &request, key).await;
     in_flight.ended();
     let ended_at_us = node.now_us();
     let latency_us = ended_at_us.saturating_sub(sent_at_us);
     let outcome = outcome(&answer, &snapshot).await;
     if outcome.is_unsent() {
-        request.unreached_us.set(request.unreached_us.get() + latency_us);
+        request.unsent_us.set(request.unsent_us.get() + latency_us);
     }
     record_outcome(&node, &request, key, &snapshot, outcome, latency_us as f64 / US_PER_MS as f64);
-    // One that was withheld says nothing of the request that is on trial there.
+    // An attempt that was withheld gives no evidence about the trial request at this upstream.
     if outcome.was_begun() {
-        node.note_return(key, outcome);
+        node.record_upstream_return(key, outcome);
     }
     node.record_evidence(&request, outcome, sent_at_us, ended_at_us);
     let search_ms = sent_at_us.saturating_sub(began_us) / US_PER_MS;
     let times = AttemptTimes { search_ms, latency_ms: latency_us / US_PER_MS };
-    report(&node, &request, place, &snapshot, AttemptEnding { outcome, retry_after }, &times);
-    // Without an answer the outcome, recorded above, is all there is.
+    report(&node, &request, role, &snapshot, AttemptEnding { outcome, retry_after }, &times);
+    // The error of an exchange is its outcome, which is recorded above.
     AttemptReport { end: AttemptEnd::Tried(outcome), answer: answer.ok() }
 }
 
-/// What an exchange shows, in the light of what was known of the upstream when the request was sent.
+/// Classifies the result of an exchange, given the upstream's load when the request was sent.
 async fn outcome(
     answer: &Result<Response<RelayBody>, AttemptOutcome>,
     snapshot: &UpstreamSnapshot,
@@ -108,8 +108,11 @@
     }
 }
 
-/// The upstream that the request is sent to, or why it is not sent.
-async fn admitted_upstream<A: PlatformAdapter + 'static>(
+/// Finds an upstream that admits the request.
+///
+/// # Errors
+/// Why the request is not sent.
+async fn find_admitting_upstream<A: PlatformAdapter + 'static>(
     node: &Rc<Node<A>>,
     request: &CallerRequest,
     goal: SearchGoal,
@@ -123,13 +126,14 @@
     match search(node, request, goal).await {
         Found::Uncontended(key) => Ok(key),
         Found::Contended(_) if goal == SearchGoal::UncontendedOnly => Err(AttemptEnd::NotAdmitted),
-        Found::Contended(key) if is_refused(node, request, key) => Err(AttemptEnd::NotAdmitted),
+        Found::Contended(key) if is_refused_by_admission(node, request, key) => Err(AttemptEnd::NotAdmitted),
         Found::Contended(key) => Ok(key),
         Found::Nothing(reason) => Err(AttemptEnd::NoUpstream(reason)),
     }
 }
 
-/// Whether its deadline is nearer than the least time of service: sending it would only take the upstream's time.
+/// Whether the deadline is closer than the shortest service time of the route; sending the request would only
+/// waste the upstream's capacity.
 fn cannot_finish<A: PlatformAdapter>(node: &Node<A>, request: &CallerRequest, now_us: u64) -> bool {
     let left_ms = request.answer_by_us.saturating_sub(now_us) as f64 / US_PER_MS as f64;
     node.dispatcher.route_times(&request.routed.route).cannot_finish(left_ms)
@@ -144,7 +148,7 @@
     unresponsive_after_ms(baseline_ms, snapshot.cost)
 }
 
-/// Records what the end says of the upstream.
+/// Records the outcome of an attempt and its latency in the upstream's state.
 fn record_outcome<A: PlatformAdapter>(
     node: &Node<A>,
     request: &CallerRequest,
@@ -169,7 +173,7 @@
 fn report<A: PlatformAdapter>(
     node: &Node<A>,
     request: &CallerRequest,
-    place: AttemptPlace,
+    role: AttemptRole,
     snapshot: &UpstreamSnapshot,
     ending: AttemptEnding,
     times: &AttemptTimes,
@@ -186,7 +190,7 @@
         upstream: snapshot.upstream.clone(),
         outcome: outcome.as_str().into(),
         retry_after: retry_after.filter(|_| !succeeded),
-        hedge: place == AttemptPlace::Hedge,
+        hedge: role == AttemptRole::Hedge,
         cost_percent: snapshot.cost_percent(),
         running: load.running,
         waiting: load.waiting,
@@ -202,15 +206,20 @@
     }
 }
 
-/// Whether a request that was not sent yet is refused, since its best upstream has no room or it would be too late there.
-fn is_refused<A: PlatformAdapter>(node: &Node<A>, request: &CallerRequest, key: UpstreamKey) -> bool {
+/// Whether admission control refuses a request that was not sent yet: its best upstream has no free capacity,
+/// or would answer too late.
+fn is_refused_by_admission<A: PlatformAdapter>(
+    node: &Node<A>,
+    request: &CallerRequest,
+    key: UpstreamKey,
+) -> bool {
     let snapshot = UpstreamSnapshot::of(node, key).filter(|_| request.sends.get() == 0);
     let Some(snapshot) = snapshot else {
         return false;
     };
     let route = &request.routed.route;
     let estimate = FinishEstimate {
-        elapsed_ms: request.elapsed_at_reached_ms(snapshot.taken_at_us),
+        elapsed_ms: request.elapsed_without_unsent_ms(snapshot.taken_at_us),
         expected_ms: f64::from(snapshot.load_when_sent.expected_latency)
             * node.dispatcher.route_times(route).baseline_ms(),
         occupancy: f64::from(snapshot.load_when_sent.occupancy),
--- a/crates/pointvane-node/src/body.rs
+++ b/crates/pointvane-node/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers: gathered up to a size, streamed beyond it.
+//! Request and response bodies: buffered up to a size, streamed beyond it.
 
 use {
     bytes::Bytes,
@@ -10,30 +10,30 @@
     },
 };
 
-/// A body of which the first part has come; the rest, if any, is streamed over a connection of type `C`.
+/// A body whose first part is buffered; the rest, if any, is streamed over a connection of type `C`.
 #[derive(Debug)]
 pub struct StreamedBody<C> {
     first: Option<Bytes>,
     rest: Option<Incoming>,
-    /// Length of the whole, if it is known.
+    /// Length of the whole body in bytes, if known.
     length: Option<u64>,
-    /// The connection that the rest comes on; closed after it.
+    /// The connection that the rest arrives on; held until the body is dropped, then closed.
     _connection: Option<C>,
 }
 
 impl<C> StreamedBody<C> {
-    /// A body that has come whole.
+    /// Creates a body that is buffered completely.
     pub fn whole(bytes: Bytes) -> Self {
         let length = Some(bytes.len() as u64);
         Self { first: Some(bytes).filter(|bytes| !bytes.is_empty()), rest: None, length, _connection: None }
     }
 
-    /// A body of which only the first part has come.
-    pub fn streamed(gathered: Gathered, connection: Option<C>) -> Self {
+    /// Creates a body whose rest is read from `connection` as it is polled.
+    pub fn streamed(buffered: BufferedBody, connection: Option<C>) -> Self {
         Self {
-            first: Some(gathered.bytes).filter(|bytes| !bytes.is_empty()),
-            rest: gathered.rest,
-            length: gathered.length,
+            first: Some(buffered.bytes).filter(|bytes| !bytes.is_empty()),
+            rest: buffered.rest,
+            length: buffered.length,
             _connection: connection,
         }
     }
@@ -69,45 +69,45 @@
     }
 }
 
-/// What was gathered of a body.
+/// The buffered part of a body, and the reader of the rest.
 #[derive(Debug)]
-pub struct Gathered {
-    /// The first part, or all of it.
+pub struct BufferedBody {
+    /// The first part, or the whole body.
     pub bytes: Bytes,
-    /// The rest, if the body is longer than what is gathered.
+    /// The rest, if the body exceeds the buffer limit.
     pub rest: Option<Incoming>,
-    /// Length of the whole, if the sender announced it.
+    /// Length of the whole body in bytes, if the sender announced it.
     pub length: Option<u64>,
 }
 
-impl Gathered {
-    /// No body.
+impl BufferedBody {
+    /// An empty body.
     pub fn empty() -> Self {
         Self { bytes: Bytes::new(), rest: None, length: Some(0) }
     }
 }
 
-/// Gathers a body up to about `most` bytes.
+/// Buffers a body up to about `bytes_max` bytes: the frame that exceeds the limit is buffered too.
 ///
 /// # Errors
-/// When the body breaks off.
-pub async fn gather(mut body: Incoming, most: usize) -> Result<Gathered, hyper::Error> {
+/// When the connection breaks before the body is complete.
+pub async fn buffer_body(mut body: Incoming, bytes_max: usize) -> Result<BufferedBody, hyper::Error> {
     let length = body.size_hint().exact();
     let mut parts: Vec<Bytes> = Vec::new();
     let mut size = 0;
-    while size <= most {
+    while size <= bytes_max {
         let Some(frame) = body.frame().await else {
-            return Ok(Gathered { bytes: joined(parts), rest: None, length });
+            return Ok(BufferedBody { bytes: concat(parts), rest: None, length });
         };
         if let Ok(data) = frame?.into_data() {
             size += data.len();
             parts.push(data);
         }
     }
-    Ok(Gathered { bytes: joined(parts), rest: Some(body), length })
+    Ok(BufferedBody { bytes: concat(parts), rest: Some(body), length })
 }
 
-fn joined(mut parts: Vec<Bytes>) -> Bytes {
+fn concat(mut parts: Vec<Bytes>) -> Bytes {
     match parts.len() {
         0 => Bytes::new(),
         1 => parts.swap_remove(0),
--- a/crates/pointvane-node/src/caller_connection.rs
+++ b/crates/pointvane-node/src/caller_connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: its requests are read ahead, and answered in their order.
+//! Serves a caller's connection: requests are read ahead and answered in order (HTTP/1.1 pipelining).
 
 use {
     crate::{
@@ -22,7 +22,7 @@
 
 /// Serves a caller's connection until it is closed.
 pub async fn serve<A: PlatformAdapter + 'static>(node: Rc<Node<A>>, stream: TcpStream) {
-    // A connection without a peer is closed already.
+    // `peer_addr` fails if the peer has already closed the connection.
     let Ok(peer) = stream.peer_addr() else { return };
     let pipeline = Rc::new(Pipeline::new(Rc::clone(&node), peer.ip()));
     let bytes_max = node.dispatcher.pipeline.bytes_max;
@@ -32,24 +32,24 @@
     let service = service_fn(move |request| {
         serve_request(Rc::clone(&service_node), Rc::clone(&service_pipeline), request)
     });
-    // A request that is forwarded already is answered before the connection closes.
+    // Requests that were forwarded early are answered before the connection closes.
     let closing = async {
         node.lifecycle.closing().await;
-        pipeline.no_early().await;
+        pipeline.early_answers_finished().await;
     };
     serve_http(&node, stream, service, closing).await;
 }
 
-/// Answers the request whose turn it is.
+/// Answers the oldest unanswered request of the connection.
 async fn serve_request<A: PlatformAdapter + 'static>(
     node: Rc<Node<A>>,
     pipeline: Rc<Pipeline<A>>,
     request: Request<Incoming>,
 ) -> Result<Response<RelayBody>, Infallible> {
     let (head, body) = request.into_parts();
-    let turn = pipeline.take();
-    let arrived_at_us = turn.as_ref().map_or_else(|| node.now_us(), |turn| turn.arrived_at_us);
-    let early = match turn.and_then(|turn| turn.early) {
+    let next = pipeline.take_next();
+    let arrived_at_us = next.as_ref().map_or_else(|| node.now_us(), |next| next.arrived_at_us);
+    let early = match next.and_then(|next| next.early) {
         Some(early) => early.take(&head).await,
         None => None,
     };
@@ -57,8 +57,9 @@
         Some(response) => response,
         None => traffic::answer(Rc::clone(&node), head, Some(body), pipeline.origin(arrived_at_us)).await,
     };
-    // What stands behind an answer that closes counts as not read, so it must not have been forwarded.
-    if !node.lifecycle.is_running() && !pipeline.has_early() {
+    // After a response with `Connection: close`, callers treat later pipelined requests as not processed, so
+    // it is sent only once none of them was forwarded.
+    if !node.lifecycle.is_running() && !pipeline.has_early_answers() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     pipeline.answered();
--- a/crates/pointvane-node/src/connections.rs
+++ b/crates/pointvane-node/src/connections.rs
@@ -1,6 +1,7 @@
-//! Kept connections to upstreams, one request at a time on each.
+//! Pool of persistent HTTP/1.1 connections to upstreams, without pipelining.
 //!
-//! Owns the idle ones. A connection is kept only after a whole answer, and used again only while its upstream keeps it too.
+//! Owns the idle connections. A connection returns to the pool only after a complete response, and is reused
+//! only while its upstream keeps it open too.
 
 use {
     crate::{body::StreamedBody, socket},
@@ -21,61 +22,62 @@
     tokio::task::spawn_local,
 };
 
-/// Idle connections kept to one upstream. Not measured; each costs memory.
-const IDLE_MAX: usize = 2;
-/// Longest idle time of a kept connection. Not measured.
+/// Most idle connections kept to one upstream; each costs memory.
+const IDLE_CONNECTIONS_MAX: usize = 2;
+/// Longest time that a connection stays in the pool unused.
 const IDLE_TIME_MAX: Duration = Duration::from_secs(7);
-/// Longest time for a new connection. Not measured.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Largest read buffer of a connection, in bytes. Not measured.
+/// Largest read buffer of a connection, in bytes.
 const READ_BUFFER_BYTES: usize = 32_768;
 
-/// Time after an answer within which surplus bytes of it may still come. Not measured.
-const SURPLUS_BYTES_WITHIN: Duration = Duration::from_millis(300);
+/// Time after a response within which surplus bytes of it may still arrive.
+const SURPLUS_BYTES_WINDOW: Duration = Duration::from_millis(300);
 
-/// Longest time since the last use of a kept connection on which work is sent that may not be repeated.
+/// Longest idle time of a pooled connection on which a request is sent that may run at most once.
 ///
-/// An upstream may have forgotten a connection that rested, or it may have gone silent; a request that meets that may have run. A probe right
-/// before uses the connection that the request gets, unless its answer comes late. Not measured at other values.
-const RESTED_MAX: Duration = Duration::from_millis(50);
+/// An upstream may have dropped an idle connection, or the path may have gone silent; a request that is sent
+/// on it may still have run, and cannot be retried. A probe sent just before uses the connection that the
+/// request then gets, unless its response is late.
+const NON_REPEATABLE_IDLE_MAX: Duration = Duration::from_millis(50);
 
-/// What a connection is wanted for.
+/// What a connection is used for; decides which pooled connection is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// A probe.
+    /// A health probe.
     Probe,
     /// A caller's request that may be repeated.
     Repeatable,
-    /// A caller's request that may run once at most.
+    /// A caller's request that may run at most once.
     NonRepeatable,
 }
 
-/// Bodies of requests and answers; that of a long answer holds the connection that it comes on.
+/// Body of a relayed request or response; a long response body holds the connection that it arrives on.
 pub type RelayBody = StreamedBody<Connection>;
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<RelayBody>,
     round_trip: Duration,
-    since: Moment,
+    idle_since: Moment,
     idle_time_max: Duration,
-    request_ended: Option<Moment>,
+    request_ended_at: Option<Moment>,
 }
 
-impl Idle {
+impl IdleConnection {
     fn is_usable(&self) -> bool {
-        self.since.elapsed() < self.idle_time_max && self.sender.is_ready()
+        self.idle_since.elapsed() < self.idle_time_max && self.sender.is_ready()
     }
 
-    /// Whether surplus bytes of the last answer would have shown by now.
-    fn is_quiet(&self) -> bool {
-        self.request_ended.is_none_or(|ended| ended.elapsed() >= SURPLUS_BYTES_WITHIN)
+    /// Whether surplus bytes of the last response would have arrived by now.
+    fn is_past_surplus_window(&self) -> bool {
+        self.request_ended_at.is_none_or(|ended| ended.elapsed() >= SURPLUS_BYTES_WINDOW)
     }
 }
 
-type IdleByAddress = RefCell<HashMap<SocketAddr, VecDeque<Idle>>>;
+type IdleByAddress = RefCell<HashMap<SocketAddr, VecDeque<IdleConnection>>>;
 
-/// Kept connections by address.
+/// Pooled connections by upstream address.
 #[derive(Clone, Debug, Default)]
 pub struct Connections {
     idle: Rc<IdleByAddress>,
@@ -90,35 +92,37 @@
     idle: Rc<IdleByAddress>,
     purpose: Purpose,
     reused: bool,
-    request_ended: Option<Moment>,
+    request_ended_at: Option<Moment>,
 }
 
-/// Why there is no answer.
+/// Why a request has no response.
 #[derive(Debug)]
 pub enum SendError {
     /// No byte was sent.
     Unsent,
-    /// Some of it may have been sent.
+    /// Part of the request may have been sent.
     Broken,
 }
 
-/// No connection could be made.
+/// No connection could be opened.
 ///
-/// The reason is dropped: the attempt is counted as unsent and tried elsewhere whatever it was.
+/// The cause is discarded: in any case the attempt counts as unsent and another upstream is tried.
 #[derive(Clone, Copy, Debug)]
 pub struct Unreachable;
 
 impl Connections {
-    /// A kept connection, or a new one.
+    /// Takes a connection from the pool, or opens a new one.
     ///
-    /// Probes take the one that was idle longest. Requests take the one that was used last, since an upstream may have
-    /// closed idle ones, but leave surplus bytes of its last answer time to show. Work that may not be repeated takes one that was used just
-    /// now, or a new one.
+    /// Probes take the connection that was idle longest. Requests take the most recently used one, since
+    /// upstreams may have closed older ones, but skip those on which surplus bytes of the last response may
+    /// still arrive. Requests that may run at most once take one that was idle for less than 50 ms, or a new
+    /// one.
     ///
     /// # Errors
-    /// [`Unreachable`] when none can be made.
+    /// [`Unreachable`] when a new connection cannot be opened.
     pub async fn get(&self, address: SocketAddr, purpose: Purpose) -> Result<Connection, Unreachable> {
-        if let Some(Idle { sender, round_trip, request_ended, .. }) = self.pop(address, purpose) {
+        if let Some(IdleConnection { sender, round_trip, request_ended_at, .. }) = self.pop(address, purpose)
+        {
             let idle = Rc::clone(&self.idle);
             return Ok(Connection {
                 address,
@@ -127,16 +131,16 @@
                 idle,
                 purpose,
                 reused: true,
-                request_ended,
+                request_ended_at,
             });
         }
         self.open(address, purpose).await
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     ///
     /// # Errors
-    /// [`Unreachable`] when none can be made.
+    /// [`Unreachable`] when the upstream refuses, does not answer in time, or the HTTP handshake fails.
     pub async fn open(&self, address: SocketAddr, purpose: Purpose) -> Result<Connection, Unreachable> {
         let began = Moment::now();
         let stream = socket::connect(address, CONNECT_TIMEOUT).await.map_err(|_| Unreachable)?;
@@ -146,46 +150,49 @@
         let (sender, driver) = builder.handshake(TokioIo::new(stream)).await.map_err(|_| Unreachable)?;
         spawn_local(driver);
         let idle = Rc::clone(&self.idle);
-        Ok(Connection { address, sender, round_trip, idle, purpose, reused: false, request_ended: None })
+        Ok(Connection { address, sender, round_trip, idle, purpose, reused: false, request_ended_at: None })
     }
 
-    fn pop(&self, address: SocketAddr, purpose: Purpose) -> Option<Idle> {
+    fn pop(&self, address: SocketAddr, purpose: Purpose) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         let queue = idle.get_mut(&address)?;
-        queue.retain(Idle::is_usable);
+        queue.retain(IdleConnection::is_usable);
         match purpose {
             Purpose::Probe => queue.pop_front(),
-            Purpose::Repeatable => match queue.iter().rposition(Idle::is_quiet) {
+            Purpose::Repeatable => match queue.iter().rposition(IdleConnection::is_past_surplus_window) {
                 Some(index) => queue.remove(index),
                 None => queue.pop_front(),
             },
             Purpose::NonRepeatable => {
-                let usable = |idle: &Idle| idle.is_quiet() && idle.since.elapsed() < RESTED_MAX;
+                let usable = |idle: &IdleConnection| {
+                    idle.is_past_surplus_window() && idle.idle_since.elapsed() < NON_REPEATABLE_IDLE_MAX
+                };
                 queue.iter().rposition(usable).and_then(|index| queue.remove(index))
             }
         }
     }
 
-    /// Closes the idle connections to an upstream: one of them went silent, and what silenced it may have silenced all.
+    /// Closes the idle connections to an upstream after one of them went silent: the cause may affect all of
+    /// them.
     pub fn discard(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes connections that have been idle too long.
+    /// Closes connections that exceeded their idle time.
     pub fn expire(&self) {
         let mut by_address = self.idle.borrow_mut();
         for queue in by_address.values_mut() {
-            queue.retain(|idle| idle.since.elapsed() < idle.idle_time_max && !idle.sender.is_closed());
+            queue.retain(|idle| idle.idle_since.elapsed() < idle.idle_time_max && !idle.sender.is_closed());
         }
         by_address.retain(|_, queue| !queue.is_empty());
     }
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     ///
     /// # Errors
-    /// Whether any byte may have been sent.
+    /// [`SendError::Unsent`] if no byte of the request was sent, [`SendError::Broken`] if some may have been.
     pub async fn send(&mut self, request: Request<RelayBody>) -> Result<Response<Incoming>, SendError> {
         self.sender.try_send_request(request).await.map_err(|mut error| match error.take_message() {
             Some(_) => SendError::Unsent,
@@ -193,40 +200,40 @@
         })
     }
 
-    /// Time that it took to open: the path to its upstream, there and back.
+    /// Time that the TCP handshake took, as an estimate of the round trip to the upstream.
     pub fn round_trip(&self) -> Duration {
         self.round_trip
     }
 
-    /// Whether it was used before.
+    /// Whether the connection comes from the pool.
     pub fn is_reused(&self) -> bool {
         self.reused
     }
 
-    /// Keeps the connection for another request, at most as long as its upstream says it will.
+    /// Returns the connection to the pool, at most for the time that the upstream announces in `Keep-Alive`.
     pub fn keep(self, answer: &HeaderMap) {
-        let request_ended = match self.purpose {
-            Purpose::Probe => self.request_ended,
+        let request_ended_at = match self.purpose {
+            Purpose::Probe => self.request_ended_at,
             Purpose::Repeatable | Purpose::NonRepeatable => Some(Moment::now()),
         };
         let mut idle = self.idle.borrow_mut();
         let queue = idle.entry(self.address).or_default();
-        if queue.len() < IDLE_MAX && !self.sender.is_closed() {
+        if queue.len() < IDLE_CONNECTIONS_MAX && !self.sender.is_closed() {
             let idle_time_max = idle_time_max(answer);
-            queue.push_back(Idle {
+            queue.push_back(IdleConnection {
                 sender: self.sender,
                 round_trip: self.round_trip,
-                since: Moment::now(),
+                idle_since: Moment::now(),
                 idle_time_max,
-                request_ended,
+                request_ended_at,
             });
         }
     }
 }
 
-/// How long a connection may be idle: a second less than its upstream keeps it, if the answer says how long.
+/// Longest idle time of a connection: a second less than the `timeout` that its upstream announces, if any.
 fn idle_time_max(answer: &HeaderMap) -> Duration {
-    // A header that cannot be read counts as none: the longest idle time is short anyway.
+    // A malformed header is ignored, since `IDLE_TIME_MAX` is short anyway.
     let header = answer.get("keep-alive").and_then(|value| value.to_str().ok());
     let seconds = header.and_then(|text| {
         let times = text.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
--- a/crates/pointvane-node/src/crash_check.rs
+++ b/crates/pointvane-node/src/crash_check.rs
@@ -1,19 +1,20 @@
-//! Whether an upstream that broke an attempt off has crashed, or lives and lost no more than a connection or an answer.
+//! Tells a crashed upstream from one that only lost a connection or a response.
 
 use {
     crate::socket,
     std::{io::ErrorKind::ConnectionRefused, net::SocketAddr, time::Duration},
 };
 
-/// Longest time for the check: an address at which nobody listens refuses within a round trip. An upstream behind a cut says nothing, which
-/// shows no crash. Not measured at other values.
+/// Timeout of the check. A host refuses a port without a listener within a round trip; an unreachable host
+/// does not answer, which is no evidence of a crash.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Whether nobody listens at an upstream's address, right after a connection to it broke.
+/// Whether an upstream's address refuses connections, right after a connection to it broke.
 ///
-/// A break alone says too little to blame a request: upstreams reset connections and lose answers, too.
-/// On a played day with 0.2 of the upstreams crashed, 0.2 of the answers reset and 0.1 spoiled, each of 11 crashes was refused within 0.7 ms and
-/// none of 43 other attempts that broke. A connection that is accepted and then reset belongs to an upstream that lives.
+/// A broken connection alone does not show that a request crashed the upstream: live upstreams also reset
+/// connections and lose responses. With 0.2 of the upstreams crashed, 0.2 of the responses reset and 0.1
+/// corrupted, all 11 crashed upstreams refused a new connection within 0.7 ms, and none of the other 43
+/// attempts that broke met a refusal. An upstream that accepts a connection and then resets it is alive.
 pub async fn has_crashed(address: SocketAddr) -> bool {
     match socket::connect(address, CHECK_TIMEOUT).await {
         Ok(_) => false,
--- a/crates/pointvane-node/src/dispatcher.rs
+++ b/crates/pointvane-node/src/dispatcher.rs
@@ -1,6 +1,7 @@
-//! What a node needs to send requests to upstreams: routes, the pool, budgets, measured times, connections, probes.
+//! State for sending requests to upstreams: routes, the upstream pool, budgets, measured times, connections,
+//! probes.
 //!
-//! Owns this state and hands it to the decisions of `pointvane-dispatch`; nothing is decided here.
+//! Owns this state and passes it to `pointvane-dispatch`, which makes the decisions.
 
 use {
     crate::{connections::Connections, probe_table::ProbeTable, quota::SharedQuotas, settings::NodeSettings},
@@ -22,23 +23,24 @@
     },
 };
 
-/// What nodes are ranked for to get an identity as reporters of crashes.
+/// Rendezvous key by which a node's identity as a reporter of crashes is derived from its name.
 const REPORTER_SUBJECT: &str = "reporter";
 
-/// What a node needs to send requests to upstreams.
+/// State that a node needs to send requests to upstreams.
 #[derive(Debug)]
 pub struct Dispatcher {
-    /// When a request is refused.
+    /// Admission policy: when requests are refused.
     pub admission: AdmissionPolicy,
-    /// How upstreams are searched.
+    /// Options of the search for an upstream.
     pub search: SearchOptions,
-    /// How far callers' connections are read ahead.
+    /// Limits on reading ahead on callers' connections.
     pub pipeline: PipelineLimits,
-    /// Time after the start until which requests are held that this node does not know yet what to do with, in milliseconds.
+    /// Time after the start for which requests wait until the node has its first routing state, in
+    /// milliseconds.
     pub start_wait_ms: u64,
-    /// Whether slow requests get a second attempt.
+    /// Whether slow requests are hedged with a second attempt.
     pub hedges: bool,
-    /// Kept connections to upstreams.
+    /// Pooled connections to upstreams.
     pub connections: Connections,
     /// Probes under way.
     pub probes: ProbeTable,
@@ -54,7 +56,7 @@
 }
 
 impl Dispatcher {
-    /// Nothing is known yet.
+    /// Creates the state of a node that knows no routes and no upstreams.
     pub fn new(
         options: &NodeOptions,
         node: &NodeSettings,
@@ -90,62 +92,62 @@
         }
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     pub fn routes(&self) -> Rc<RouteTable> {
         Rc::clone(&self.routes.borrow())
     }
 
-    /// Puts a configuration in force, unless it is no newer than the one in force.
+    /// Activates a configuration if it is newer than the active one; returns whether it was.
     pub fn accept_configuration(&self, configuration: RoutingConfiguration) -> bool {
-        let before = self.routes();
-        let newer = configuration.version > before.version();
-        if newer {
-            self.routing_log.borrow_mut().replaced(&before.configuration(), &configuration);
-            self.put_in_force(configuration);
+        let previous = self.routes();
+        let is_newer = configuration.version > previous.version();
+        if is_newer {
+            self.routing_log.borrow_mut().replaced(&previous.configuration(), &configuration);
+            self.activate(configuration);
         }
-        newer
+        is_newer
     }
 
-    /// Puts the configuration in force that deltas lead to.
+    /// Applies deltas to the active configuration and activates the result.
     ///
     /// # Errors
-    /// When they do not lead on from the one in force, which then stays.
+    /// When the deltas do not follow on the active configuration, which then stays active.
     pub fn accept_deltas(&self, deltas: Vec<RoutingDelta>) -> Result<(), DeltaMismatch> {
         let base = self.routes().configuration();
         let configuration = RoutingDelta::apply(&deltas, base)?;
-        self.put_in_force(configuration);
+        self.activate(configuration);
         let mut log = self.routing_log.borrow_mut();
         deltas.into_iter().for_each(|delta| log.add(delta));
         Ok(())
     }
 
-    fn put_in_force(&self, configuration: RoutingConfiguration) {
+    fn activate(&self, configuration: RoutingConfiguration) {
         let routes = RouteTable::new(configuration);
         self.pool.borrow_mut().set_warm_up_rates(routes.cold_rates_per_s());
         self.routes.replace(Rc::new(routes));
     }
 
-    /// What changed from a version to the configuration in force; none if that is not known.
+    /// Deltas from a version to the active configuration; none if the log does not reach back to it.
     pub fn configuration_since(&self, version: u64) -> Option<Vec<RoutingDelta>> {
         self.routing_log.borrow().since(version)
     }
 
-    /// The route of a request, with the service drawn for it.
+    /// Finds the route of a request and draws its service at random by the weights of the route.
     pub fn route(&self, host: &str, path: &str) -> Option<RoutedRequest> {
         self.routes.borrow().route(host, path, &mut self.rng.borrow_mut())
     }
 
-    /// The upstreams.
+    /// The pool of upstreams.
     pub fn pool(&self) -> Ref<'_, Pool> {
         self.pool.borrow()
     }
 
-    /// The upstreams, to be changed.
+    /// The pool of upstreams, mutably.
     pub fn pool_mut(&self) -> RefMut<'_, Pool> {
         self.pool.borrow_mut()
     }
 
-    /// Requests under which upstreams crash.
+    /// Requests that crash upstreams.
     pub fn quarantine(&self) -> RefMut<'_, Quarantine> {
         self.quarantine.borrow_mut()
     }
@@ -162,12 +164,12 @@
         RefMut::map(self.budgets.borrow_mut(), |budgets| budgets.retries(service, limits))
     }
 
-    /// Takes a token of the probe budget, if there is one.
+    /// Takes a token of the probe budget; false if it is spent.
     pub fn take_probe(&self, now_us: u64) -> bool {
         self.budgets.borrow_mut().take_probe(now_us)
     }
 
-    /// Divides the fleet's budgets, and what cold upstreams bear, among so many nodes.
+    /// Divides the fleet's budgets, and the request rate that cold upstreams may get, by the number of nodes.
     pub fn share_budgets(&self, nodes: usize, limits: &BudgetLimits, warm_up: WarmUpBound, now_us: u64) {
         let upstreams = self.pool.borrow().len();
         let mut budgets = self.budgets.borrow_mut();
@@ -175,12 +177,13 @@
         self.pool.borrow_mut().share_warm_up(warm_up, budgets.nodes(), now_us);
     }
 
-    /// A number between 0 and 1, drawn at random.
+    /// A uniformly random number from 0 to 1.
     pub fn draw(&self) -> f32 {
         self.rng.borrow_mut().random()
     }
 
-    /// When a caller should retry whose request was refused for `error`, in milliseconds; none where the usual time holds.
+    /// Time after which a caller whose request was refused with `error` should retry, in milliseconds; none
+    /// for the default time.
     pub fn retry_after_ms(
         &self,
         route: &RouteRule,
@@ -208,7 +211,7 @@
     RankingOptions { ranking, ..RankingOptions::default() }
 }
 
-/// The quarantine of a node that knows of no request.
+/// Creates a quarantine without records.
 fn quarantine(options: &NodeOptions, node: &Name, incarnation: Incarnation) -> Quarantine {
     let options = QuarantineOptions {
         after_crashes: options.quarantine.after_crashes,
--- a/crates/pointvane-node/src/exchange.rs
+++ b/crates/pointvane-node/src/exchange.rs
@@ -1,13 +1,13 @@
-//! One request sent to one upstream, and its answer read.
+//! Sends a request to one upstream and reads the response.
 
 use {
     crate::{
-        body::{Gathered, gather},
+        body::{BufferedBody, buffer_body},
         connections::{Connection, Purpose, RelayBody, SendError},
-        head_wait::{self, AwaitedAnswer, Sent},
+        head_wait::{self, AwaitedAnswer, SendResult},
         node::Node,
         quota::QuotaCharge,
-        request::{CallerRequest, strip_hop_headers},
+        request::{CallerRequest, strip_hop_by_hop_headers},
     },
     hyper::{
         HeaderMap, Request, Response, StatusCode,
@@ -20,54 +20,55 @@
     std::rc::Rc,
 };
 
-/// Bytes of an answer that are gathered before any is passed on, so that an answer that breaks off early can be asked
-/// for again. Bounds the memory of an answer.
-const ANSWER_GATHERED_BYTES: usize = 64 << 10;
+/// Bytes of a response that are buffered before any is relayed, so that a request whose response breaks off
+/// early can be retried. Bounds the memory of a response.
+const ANSWER_BUFFER_BYTES: usize = 64 << 10;
 
-/// Bytes of a `Retry-After` that a line shows: more than any number of seconds or date has.
+/// Longest `Retry-After` value that a log line shows, in bytes: longer than any number of seconds or HTTP
+/// date.
 const RETRY_AFTER_SHOWN_BYTES: usize = 40;
 
-/// What came of a request that was sent to an upstream.
+/// Result of sending a request to an upstream.
 #[derive(Debug)]
-pub struct Exchanged {
-    /// Its answer, or the outcome if there is none that could be passed on.
+pub struct ExchangeResult {
+    /// The response, or the outcome if there is none that can be relayed.
     pub answer: Result<Response<RelayBody>, AttemptOutcome>,
-    /// `Retry-After` of the answer, as the upstream wrote it, for lines.
+    /// `Retry-After` of the response as the upstream wrote it, for log lines.
     pub retry_after: Option<String>,
 }
 
-/// An answer whose head has come.
+/// A response whose head was received.
 struct Answer {
     head: Parts,
     body: Incoming,
     connection: Connection,
-    /// When its request was sent, in microseconds of the steady clock.
+    /// When its request was sent, in microseconds of the monotonic clock.
     sent_at_us: u64,
 }
 
-/// Sends a request to an upstream and reads its answer.
+/// Sends a request to an upstream and reads the response.
 pub async fn exchange<A: PlatformAdapter + 'static>(
     node: &Rc<Node<A>>,
     request: &CallerRequest,
     key: UpstreamKey,
-) -> Exchanged {
+) -> ExchangeResult {
     match send(node, request, key).await {
         Ok(answer) => {
             let retry_after = retry_after_text(&answer.head);
-            Exchanged { answer: read(node, request, key, answer).await, retry_after }
+            ExchangeResult { answer: read_answer(node, request, key, answer).await, retry_after }
         }
-        Err(outcome) => Exchanged { answer: Err(outcome), retry_after: None },
+        Err(outcome) => ExchangeResult { answer: Err(outcome), retry_after: None },
     }
 }
 
-/// `Retry-After` as it was written, cut off.
+/// The value of `Retry-After`, truncated to [`RETRY_AFTER_SHOWN_BYTES`].
 fn retry_after_text(head: &Parts) -> Option<String> {
     let value = head.headers.get(RETRY_AFTER)?.as_bytes();
     Some(String::from_utf8_lossy(&value[..value.len().min(RETRY_AFTER_SHOWN_BYTES)]).into())
 }
 
-/// Reads an answer whose head has come.
-async fn read<A: PlatformAdapter>(
+/// Processes the head of a response, then reads its body.
+async fn read_answer<A: PlatformAdapter>(
     node: &Node<A>,
     request: &CallerRequest,
     key: UpstreamKey,
@@ -76,23 +77,25 @@
     node.record_load(key, node.load_report(&answer.head.headers));
     let id = request.headers.get(&node.headers.request_id);
     if answer.head.headers.get(&node.headers.request_id) != id {
-        // It belongs to another request; so may all that follows on this connection.
+        // The response belongs to another request; so may all that follows on this connection.
         return Err(AttemptOutcome::Broken);
     }
-    // Before its body is read: other requests must not be sent there meanwhile.
+    // Applied before the body is read, so that no other request is sent to an upstream that asked for a
+    // pause.
     if node.is_own_answer(answer.head.status, &answer.head.headers, id) {
-        node.heed_notices(key, answer.head.status, &answer.head.headers, Some(answer.sent_at_us));
+        node.apply_notices(key, answer.head.status, &answer.head.headers, Some(answer.sent_at_us));
     }
-    // A streamed request may still be on its way when its answer comes, so its connection is not used again.
-    let keepable = request.body.is_some();
+    // A streamed request body may still be in transit when the response arrives, so its connection is not
+    // reused.
+    let reusable = request.body.is_some();
     let not_run = answer.head.headers.contains_key(&node.headers.not_run);
     if not_run || answer.head.status == StatusCode::MISDIRECTED_REQUEST {
-        return Err(refused(answer, keepable).await);
+        return Err(refusal_outcome(answer, reusable).await);
     }
-    read_body(answer, keepable).await
+    read_body(answer, reusable).await
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the head of the response.
 async fn send<A: PlatformAdapter + 'static>(
     node: &Rc<Node<A>>,
     request: &CallerRequest,
@@ -100,17 +103,17 @@
 ) -> Result<Answer, AttemptOutcome> {
     let address = node.dispatcher.pool().get(key).map(|state| state.address());
     let address = address.ok_or(AttemptOutcome::Withheld(Ineligible::Gone))?;
-    // Why no connection could be opened makes no difference; the attempt is counted and logged as unreachable.
+    // Whatever the cause, the attempt is counted and logged as unreachable.
     let repeatable = request.routed.route.kind.repeatable();
     let purpose = if repeatable { Purpose::Repeatable } else { Purpose::NonRepeatable };
     let connection = node.dispatcher.connections.get(address, purpose).await;
     let connection = connection.map_err(|_| AttemptOutcome::Unreachable)?;
-    // Read again right before the first byte goes out: this process may have been paused meanwhile.
+    // The clock is read again right before the first byte is sent, since the process may have been suspended.
     let now_us = node.now_us();
     if request.answer_by_us <= now_us {
         return Err(AttemptOutcome::TimedOut);
     }
-    // Before a streamed body is taken, which could not go elsewhere then.
+    // Checked before a streamed body is taken, after which the request cannot go to another upstream.
     begin_send(node, request, key, now_us)?;
     let outgoing = outgoing(node, request, key, now_us).ok_or(AttemptOutcome::Unsent)?;
     request.charge.iter().for_each(QuotaCharge::spend);
@@ -118,12 +121,12 @@
     let id = request.headers.get(&node.headers.request_id).cloned();
     let awaited = AwaitedAnswer { key, id, answer_by_us: request.answer_by_us };
     let sent = head_wait::send(node, connection, outgoing, awaited).await;
-    sent.ok_or(AttemptOutcome::Broken).and_then(|sent| came(sent, request, now_us))
+    sent.ok_or(AttemptOutcome::Broken).and_then(|sent| send_result(sent, request, now_us))
 }
 
-/// What came of a send: the head of the answer, or why there is none.
-fn came(
-    (connection, answer): Sent,
+/// Converts the result of a send to the head of the response, or the outcome if there is none.
+fn send_result(
+    (connection, answer): SendResult,
     request: &CallerRequest,
     sent_at_us: u64,
 ) -> Result<Answer, AttemptOutcome> {
@@ -136,12 +139,12 @@
             request.sends.set(request.sends.get() - 1);
             Err(AttemptOutcome::Unsent)
         }
-        // Part of a streamed body may have been taken from its caller already, so it counts as sent.
+        // Part of a streamed body may already be consumed, so the request counts as sent.
         Err(SendError::Unsent | SendError::Broken) => Err(AttemptOutcome::Broken),
     }
 }
 
-/// Replaces the key by the name of its account; none if that is no header value.
+/// Replaces the API key by the name of its account; none if the name is not a valid header value.
 fn set_account<A: PlatformAdapter>(
     node: &Node<A>,
     request: &CallerRequest,
@@ -157,29 +160,30 @@
     Some(())
 }
 
-/// Asks once more whether the request and the upstream may still go together: much may have become known during the search.
+/// Checks again whether the request may be sent to the upstream, since the state may have changed during the
+/// search.
 fn begin_send<A: PlatformAdapter>(
     node: &Node<A>,
     request: &CallerRequest,
     key: UpstreamKey,
     now_us: u64,
 ) -> Result<(), AttemptOutcome> {
-    // Its key may have been taken away.
-    if !node.may_use_key(request) {
+    // The key may have been revoked.
+    if !node.is_key_still_valid(request) {
         return Err(AttemptOutcome::Unauthorized);
     }
-    // Upstreams may have crashed under it elsewhere.
+    // The request may have crashed upstreams that other nodes sent it to.
     if !node.may_send(request, now_us) {
         return Err(AttemptOutcome::Quarantined);
     }
-    // The upstream may have been evacuated, or begun to drain.
+    // The upstream may have been evacuated or have started to drain.
     node.dispatcher.pool_mut().begin_send(key, now_us).map_err(AttemptOutcome::Withheld)
 }
 
-/// Reads the rest of an answer by which the upstream says that it did not run the request.
-async fn refused(answer: Answer, keepable: bool) -> AttemptOutcome {
+/// Reads the body of a response that marks the request as not run, so that its connection can be reused.
+async fn refusal_outcome(answer: Answer, reusable: bool) -> AttemptOutcome {
     let Answer { head, body, connection, .. } = answer;
-    if keepable && let Ok(Gathered { rest: None, .. }) = gather(body, ANSWER_GATHERED_BYTES).await {
+    if reusable && let Ok(BufferedBody { rest: None, .. }) = buffer_body(body, ANSWER_BUFFER_BYTES).await {
         connection.keep(&head.headers);
     }
     AttemptOutcome::NotRun(match head.status {
@@ -189,26 +193,27 @@
     })
 }
 
-/// Reads the body of an answer, or its first part if it is long.
-async fn read_body(answer: Answer, keepable: bool) -> Result<Response<RelayBody>, AttemptOutcome> {
+/// Reads the body of a response, or its first part if it exceeds the buffer.
+async fn read_body(answer: Answer, reusable: bool) -> Result<Response<RelayBody>, AttemptOutcome> {
     let Answer { head, body, connection, .. } = answer;
-    // How it broke off makes no difference; the attempt is counted and logged as broken.
-    let gathered = gather(body, ANSWER_GATHERED_BYTES).await.map_err(|_| AttemptOutcome::Broken)?;
-    let body = match gathered.rest {
-        Some(_) => RelayBody::streamed(gathered, Some(connection)),
+    // Whatever the cause, the attempt is counted and logged as broken.
+    let buffered = buffer_body(body, ANSWER_BUFFER_BYTES).await.map_err(|_| AttemptOutcome::Broken)?;
+    let body = match buffered.rest {
+        Some(_) => RelayBody::streamed(buffered, Some(connection)),
         None => {
-            if keepable {
+            if reusable {
                 connection.keep(&head.headers);
             }
-            RelayBody::whole(gathered.bytes)
+            RelayBody::whole(buffered.bytes)
         }
     };
     let mut response = Response::from_parts(head, body);
-    strip_hop_headers(response.headers_mut());
+    strip_hop_by_hop_headers(response.headers_mut());
     Ok(response)
 }
 
-/// The request as it goes to an upstream; none when its streamed body was taken before, or the upstream is forgotten.
+/// Builds the request for an upstream; none if its streamed body was already taken, or the upstream was
+/// removed.
 fn outgoing<A: PlatformAdapter>(
     node: &Node<A>,
     request: &CallerRequest,
@@ -228,7 +233,7 @@
     let left_ms = request.answer_by_us.saturating_sub(now_us) / US_PER_MS;
     headers.insert(node.headers.deadline_ms.clone(), HeaderValue::from(left_ms.max(1)));
     let pool = node.dispatcher.pool();
-    // An id that is no header value cannot be named to the upstream, so nothing is sent there.
+    // Without a valid header value for the id the upstream cannot verify the target, so nothing is sent.
     let id = HeaderValue::from_str(pool.get(key)?.id().as_str()).ok()?;
     headers.insert(node.headers.expect_upstream.clone(), id);
     Some(outgoing)
--- a/crates/pointvane-node/src/forward.rs
+++ b/crates/pointvane-node/src/forward.rs
@@ -1,9 +1,10 @@
-//! From a routed request to its final answer: carries out the attempts that [`RequestAttempts`] asks for.
+//! Forwards a routed request: runs the attempts that [`RequestAttempts`] decides on, up to the final
+//! response.
 
 use {
     crate::{
         answer::Refused,
-        attempt::{AttemptPlace, AttemptReport, attempt},
+        attempt::{AttemptReport, AttemptRole, attempt},
         connections::RelayBody,
         node::Node,
         request::CallerRequest,
@@ -24,24 +25,25 @@
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// An upstream's answer, ready for the caller, or the reason for which the node itself answers.
+/// An upstream's response, ready for the caller, or the error that the node responds with.
 pub type FinalAnswer = Result<Response<RelayBody>, Refused>;
 
-/// The attempts of one request that are under way, and the best answer so far.
+/// The running attempts of one request, and the latest response so far.
 struct Forward<A> {
     node: Rc<Node<A>>,
     request: Rc<CallerRequest>,
-    under_way: JoinSet<AttemptReport>,
+    running_attempts: JoinSet<AttemptReport>,
     answer: Option<Response<RelayBody>>,
 }
 
-/// Forwards a request and gives its final answer.
+/// Forwards a request and returns its final response.
 pub async fn forward<A: PlatformAdapter + 'static>(
     node: Rc<Node<A>>,
     request: Rc<CallerRequest>,
 ) -> FinalAnswer {
     let started_at_us = node.now_us();
-    let mut forward = Forward { node, request: Rc::clone(&request), under_way: JoinSet::new(), answer: None };
+    let mut forward =
+        Forward { node, request: Rc::clone(&request), running_attempts: JoinSet::new(), answer: None };
     let answer = forward.run(started_at_us).await;
     if answer.as_ref().is_ok_and(|response| response.status().is_success()) {
         let time_ms = forward.node.now_us().saturating_sub(started_at_us) as f64 / US_PER_MS as f64;
@@ -56,15 +58,16 @@
         let mut attempts = RequestAttempts::started(&request.routed.route, request.body.is_some());
         self.retry_budget().earn();
         let deadline = self.deadline(started_at_us);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut hedges = self.hedge_schedule();
         self.start_best();
         loop {
-            let hedge_at = hedges.map(|hedges| began + Duration::from_secs_f64(hedges.next_ms() / MS_PER_S));
+            let hedge_at =
+                hedges.map(|hedges| started_at + Duration::from_secs_f64(hedges.next_ms() / MS_PER_S));
             let hedge_at = hedge_at.filter(|at| *at < deadline);
             let step = tokio::select! {
-                ended = self.under_way.join_next() => {
-                    // An attempt that panicked says nothing of what its upstream did.
+                ended = self.running_attempts.join_next() => {
+                    // After a panic in an attempt it is unknown whether its upstream ran the request.
                     let Some(Ok(result)) = ended else { return Err(ErrorKind::UpstreamBroken.into()) };
                     self.answer = result.answer.or(self.answer.take());
                     attempts.streamed_body_left(request.stream.borrow().is_some());
@@ -76,14 +79,14 @@
                 }
                 () = sleep_until(deadline) => attempts.deadline_passed(),
             };
-            if let Some(answer) = self.carry_out(step) {
+            if let Some(answer) = self.execute(step) {
                 return answer;
             }
         }
     }
 
-    /// Does what comes next; gives the final answer if that is it.
-    fn carry_out(&mut self, step: NextStep) -> Option<FinalAnswer> {
+    /// Executes the next step; returns the final response if the step ends the request.
+    fn execute(&mut self, step: NextStep) -> Option<FinalAnswer> {
         match step {
             NextStep::Wait => {}
             NextStep::Retry => {
@@ -95,7 +98,7 @@
                 let now_us = self.node.now_us();
                 let elapsed_ms = self.request.elapsed_ms(now_us);
                 let goal = hedge_goal(&self.request.routed.route, elapsed_ms, now_us);
-                self.start(goal, AttemptPlace::Hedge);
+                self.start(goal, AttemptRole::Hedge);
             }
             NextStep::Deliver => return Some(self.deliver()),
             NextStep::GiveUp(error) => return Some(Err(self.refuse(error))),
@@ -103,23 +106,23 @@
         None
     }
 
-    fn start(&mut self, goal: SearchGoal, place: AttemptPlace) {
+    fn start(&mut self, goal: SearchGoal, role: AttemptRole) {
         let (node, request) = (Rc::clone(&self.node), Rc::clone(&self.request));
-        self.under_way.spawn_local(attempt(node, request, goal, place));
+        self.running_attempts.spawn_local(attempt(node, request, goal, role));
     }
 
-    /// Starts an attempt at the best upstream, after a short search for an uncontended one.
+    /// Starts an attempt at the best upstream, after a bounded search for an uncontended one.
     fn start_best(&mut self) {
         let search_ms = search_time_ms(&self.request.routed.route);
         let until_us = self.node.now_us() + (search_ms * US_PER_MS as f64) as u64;
-        self.start(SearchGoal::Best { until_us }, AttemptPlace::Alone);
+        self.start(SearchGoal::Best { until_us }, AttemptRole::Primary);
     }
 
     fn deadline(&self, now_us: u64) -> Instant {
         Instant::now() + Duration::from_micros(self.request.answer_by_us.saturating_sub(now_us))
     }
 
-    /// When a second attempt is considered, if ever.
+    /// When hedges are considered; none if hedging is disabled or the route has no hedge time.
     fn hedge_schedule(&self) -> Option<HedgeSchedule> {
         let route = &self.request.routed.route;
         let after_ms = self.node.dispatcher.route_times(route).hedge_after_ms(route)?;
@@ -137,7 +140,7 @@
         answer.ok_or_else(|| ErrorKind::UpstreamBroken.into())
     }
 
-    /// The reason for which the node itself answers, with the time to retry if it has one of its own.
+    /// Builds the error for the caller, with its retry time and the state of the service's upstreams.
     fn refuse(&self, error: ErrorKind) -> Refused {
         let route = &self.request.routed.route;
         let by = if self.request.sends.get() > 0 { RefusedBy::Upstream } else { RefusedBy::Node };
@@ -147,9 +150,9 @@
         Refused { retry_after_ms, withheld, ..error.into() }
     }
 
-    /// What keeps work from the request's service, where that may be why it is refused.
+    /// Why the upstreams of the request's service accept no requests, for errors that this may have caused.
     fn withheld(&self, error: ErrorKind) -> Option<WithheldService> {
-        let asks = matches!(
+        let may_be_withheld = matches!(
             error,
             ErrorKind::Overloaded
                 | ErrorKind::UpstreamsBackingOff
@@ -157,13 +160,14 @@
                 | ErrorKind::NoUpstream
         );
         let now_us = self.node.now_us();
-        asks.then(|| {
-            self.node.dispatcher.pool().withheld(
-                &self.request.routed.service,
-                self.request.routed.route.priority,
-                now_us,
-            )
-        })
-        .flatten()
+        may_be_withheld
+            .then(|| {
+                self.node.dispatcher.pool().withheld(
+                    &self.request.routed.service,
+                    self.request.routed.route.priority,
+                    now_us,
+                )
+            })
+            .flatten()
     }
 }
--- a/crates/pointvane-node/src/head_wait.rs
+++ b/crates/pointvane-node/src/head_wait.rs
@@ -1,9 +1,11 @@
-//! Waits for the head of an answer on behalf of an attempt, and a little longer if the attempt is abandoned.
+//! Waits for the head of a response on behalf of an attempt, and a little longer if the attempt is abandoned.
 //!
-//! A hedge that lost, or an attempt whose caller left or whose time is over, is dropped with its connection, which cancels it at its upstream. What the
-//! upstream says of itself when it turns the request away would be lost with it: in a soak one asked for 2.96 s in its answer to a hedge, right when the
-//! first attempt was answered, and got 64 more requests; one that asks when the time of a request is over in its queue got 151 to 160 in 1.5 s
-//! (`standins/tests/backing_off.rs`, `a_pause_is_heeded_*`). For how long: [`SentRequest`].
+//! A hedge that lost, or an attempt whose caller left or whose deadline passed, is dropped with its
+//! connection, which cancels it at its upstream. A notice in a refusal that arrives at that moment would be
+//! lost: an upstream that asked for a pause of 2.96 s in its response to a hedge, just when the first attempt
+//! was answered, got 64 more requests; one that asked for a pause when a request expired in its queue got 151
+//! to 160 requests in 1.5 s (tested in `standins/tests/backing_off.rs`). [`SentRequest`] bounds the extra
+//! wait.
 
 use {
     crate::{
@@ -17,27 +19,28 @@
     tokio::{sync::oneshot, task::spawn_local, time::timeout},
 };
 
-/// The answer that is waited for.
+/// The response that an attempt waits for.
 #[derive(Clone, Debug)]
 pub struct AwaitedAnswer {
-    /// The upstream that the request goes to.
+    /// The upstream that the request is sent to.
     pub key: UpstreamKey,
-    /// The request's identity, which the answer must repeat.
+    /// The request id, which the response must repeat.
     pub id: Option<HeaderValue>,
-    /// When it is due, in microseconds of the steady clock.
+    /// Deadline of the request, in microseconds of the monotonic clock.
     pub answer_by_us: u64,
 }
 
-/// What came of a send, and the connection that it came on.
-pub type Sent = (Connection, Result<Response<Incoming>, SendError>);
+/// Result of a send, with its connection.
+pub type SendResult = (Connection, Result<Response<Incoming>, SendError>);
 
-/// Sends a request and waits for the head of its answer; none if the wait itself ended, as when the process stops.
+/// Sends a request and waits for the head of its response; none if the waiting task ended first, as at
+/// process exit.
 pub async fn send<A: PlatformAdapter + 'static>(
     node: &Rc<Node<A>>,
     connection: Connection,
     request: Request<RelayBody>,
     awaited: AwaitedAnswer,
-) -> Option<Sent> {
+) -> Option<SendResult> {
     let (attempt, sent) = oneshot::channel();
     let round_trip_us = connection.round_trip().as_micros() as u64;
     let times = SentRequest { sent_at_us: node.now_us(), answer_by_us: awaited.answer_by_us, round_trip_us };
@@ -51,7 +54,7 @@
     request: Request<RelayBody>,
     awaited: AwaitedAnswer,
     times: SentRequest,
-    mut attempt: oneshot::Sender<Sent>,
+    mut attempt: oneshot::Sender<SendResult>,
 ) {
     let sending = async move {
         let answer = connection.send(request).await;
@@ -63,8 +66,8 @@
         sent = &mut sending => sent,
         () = attempt.closed() => {
             let now_us = node.now_us();
-            let heeded_for = Duration::from_micros(times.heeded_until_us(now_us).saturating_sub(now_us));
-            match timeout(heeded_for, sending).await {
+            let grace_period = Duration::from_micros(times.heeded_until_us(now_us).saturating_sub(now_us));
+            match timeout(grace_period, sending).await {
                 Ok(sent) => sent,
                 Err(_) => return,
             }
@@ -73,6 +76,6 @@
     if let Err((_, Ok(answer))) = attempt.send(sent)
         && node.is_own_answer(answer.status(), answer.headers(), awaited.id.as_ref())
     {
-        node.heed_notices(awaited.key, answer.status(), answer.headers(), Some(times.sent_at_us));
+        node.apply_notices(awaited.key, answer.status(), answer.headers(), Some(times.sent_at_us));
     }
 }
--- a/crates/pointvane-node/src/headers.rs
+++ b/crates/pointvane-node/src/headers.rs
@@ -1,32 +1,32 @@
-//! The platform's headers: their names as `hyper` takes them, and the values that are read.
+//! Names of the platform's HTTP headers as `hyper` types, and parsers of their values.
 
 use {
     hyper::{HeaderMap, header::HeaderName},
     pointvane_core::HeaderNames,
 };
 
-/// The headers as `hyper` takes them.
+/// Header names of the platform, from [`HeaderNames`].
 #[derive(Clone, Debug)]
 pub struct Headers {
-    /// Identity of one attempt of a caller.
+    /// Identifier that a caller gives each of its attempts.
     pub request_id: HeaderName,
-    /// Time that the sender will still wait, in milliseconds.
+    /// Time that the sender will still wait for the response, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// The upstream that alone may run the request.
+    /// Identifier of the only upstream that may run the request.
     pub expect_upstream: HeaderName,
     /// An upstream's load report.
     pub load: HeaderName,
     /// Set by an upstream that did not run the request.
     pub not_run: HeaderName,
-    /// The upstream's identity.
+    /// The upstream's identifier.
     pub upstream: HeaderName,
-    /// How much longer an upstream is cold, in milliseconds.
+    /// Remaining warm-up time of an upstream, in milliseconds.
     pub warm_up_left_ms: HeaderName,
-    /// Set by an upstream that is leaving.
+    /// Set by an upstream that is about to leave the service.
     pub leaving: HeaderName,
-    /// Requests a second that an upstream takes from all nodes together.
+    /// Requests per second that an upstream accepts from all nodes together.
     pub request_limit: HeaderName,
-    /// Name of the client account whose key a request carried.
+    /// Name of the client account whose key the request carried.
     pub account: HeaderName,
 }
 
@@ -48,30 +48,31 @@
 }
 
 impl Headers {
-    /// Time that a caller says it will wait, in milliseconds; none if it doesn't, or not in a number.
-    pub fn caller_waits_ms(&self, headers: &HeaderMap) -> Option<u64> {
+    /// Time that a caller will wait, in milliseconds; none if the header is missing or not an integer.
+    pub fn caller_timeout_ms(&self, headers: &HeaderMap) -> Option<u64> {
         let text = headers.get(&self.deadline_ms)?.to_str().ok()?;
         text.trim().parse().ok()
     }
 
-    /// How much longer an upstream says that it is cold, in milliseconds; none if it says nothing, or not in a number.
+    /// Remaining warm-up time of an upstream, in milliseconds; none if the header is missing or not a number.
     pub fn warm_up_left_ms(&self, headers: &HeaderMap) -> Option<u64> {
         let text = headers.get(&self.warm_up_left_ms)?.to_str().ok()?;
-        // A fraction is cut off, a negative time is none.
+        // The cast truncates fractions and turns negative numbers into 0.
         text.trim().parse::<f64>().ok().map(|left_ms| left_ms as u64)
     }
 
-    /// Takes out what a caller itself says of its account, also under names that some upstreams take for the same: with `_` for `-`.
+    /// Removes account headers that the caller set, also in spellings with `_` for `-`, which some upstreams
+    /// treat as the same header.
     pub fn strip_account(&self, headers: &mut HeaderMap) {
         headers.remove(&self.account);
-        let is_alike = |name: &&HeaderName| {
+        let is_equivalent = |name: &&HeaderName| {
             name.as_str().contains('_') && name.as_str().replace('_', "-") == self.account.as_str()
         };
-        let alike: Vec<HeaderName> = headers.keys().filter(is_alike).cloned().collect();
-        alike.iter().for_each(|name| _ = headers.remove(name));
+        let equivalent: Vec<HeaderName> = headers.keys().filter(is_equivalent).cloned().collect();
+        equivalent.iter().for_each(|name| _ = headers.remove(name));
     }
 
-    /// The identity that a caller gave its request, for log lines; empty if it gave none, or one that is no text.
+    /// The request id that a caller sent, for log lines; empty if there is none, or it is not visible ASCII.
     pub fn request_id_text(&self, headers: &HeaderMap) -> String {
         headers.get(&self.request_id).and_then(|id| id.to_str().ok()).unwrap_or_default().into()
     }
--- a/crates/pointvane-node/src/in_flight.rs
+++ b/crates/pointvane-node/src/in_flight.rs
@@ -1,4 +1,5 @@
-//! Counts requests at their upstreams, and notices those that are abandoned since the upstream did not respond.
+//! Counts requests in flight per upstream, and detects attempts that were abandoned because the upstream did
+//! not respond.
 
 use {
     crate::{node::Node, request::CallerRequest},
@@ -8,36 +9,37 @@
     std::rc::Rc,
 };
 
-/// Counts a request at its upstream for as long as it lives.
+/// Guard that counts a request as in flight at its upstream until it is dropped.
 ///
-/// Dropped without [`Self::ended`], the attempt was abandoned: its caller left, its deadline passed, or another attempt
-/// answered first. If that was later than an answer could be expected, it counts as a failure of the upstream.
+/// If it is dropped without [`Self::ended`], the attempt was abandoned: the caller left, the deadline passed,
+/// or another attempt was answered first. If a response was overdue by then, this counts as a failure of the
+/// upstream.
 pub struct InFlight<A: PlatformAdapter> {
     node: Rc<Node<A>>,
     request: Rc<CallerRequest>,
     key: UpstreamKey,
-    since_us: u64,
-    /// From when on the upstream counts as unresponsive; never, once the attempt has ended.
+    started_at_us: u64,
+    /// Time from which the upstream counts as unresponsive; `u64::MAX` once the attempt has ended.
     unresponsive_at_us: u64,
 }
 
 impl<A: PlatformAdapter> InFlight<A> {
-    /// Counts a request whose upstream counts as unresponsive after a time.
+    /// Counts a request whose upstream is unresponsive if it has not responded after `unresponsive_after_ms`.
     pub fn start(
         node: &Rc<Node<A>>,
         request: &Rc<CallerRequest>,
         key: UpstreamKey,
         unresponsive_after_ms: f64,
     ) -> Self {
-        let since_us = node.now_us();
-        let unresponsive_at_us = since_us + (unresponsive_after_ms * US_PER_MS as f64) as u64;
+        let started_at_us = node.now_us();
+        let unresponsive_at_us = started_at_us + (unresponsive_after_ms * US_PER_MS as f64) as u64;
         if let Some(state) = node.dispatcher.pool_mut().get_mut(key) {
             state.request_started();
         }
-        Self { node: Rc::clone(node), request: Rc::clone(request), key, since_us, unresponsive_at_us }
+        Self { node: Rc::clone(node), request: Rc::clone(request), key, started_at_us, unresponsive_at_us }
     }
 
-    /// The attempt has ended by itself, well or not.
+    /// Marks the attempt as ended, whether it succeeded or failed.
     pub fn ended(mut self) {
         self.unresponsive_at_us = u64::MAX;
     }
@@ -57,7 +59,7 @@
         self.node.report.failure(now_us, || EventKind::AttemptGivenUp {
             request: self.request.id.clone(),
             upstream: state.id().clone(),
-            after_ms: now_us.saturating_sub(self.since_us) / US_PER_MS,
+            after_ms: now_us.saturating_sub(self.started_at_us) / US_PER_MS,
         });
     }
 }
--- a/crates/pointvane-node/src/pipeline.rs
+++ b/crates/pointvane-node/src/pipeline.rs
@@ -1,8 +1,10 @@
-//! The unanswered requests of one caller's connection. Those that may be forwarded before their turn are; answers leave in order.
+//! The unanswered requests of one caller's connection (HTTP/1.1 pipelining). Requests may be forwarded before
+//! earlier ones are answered; responses are sent in order.
 //!
-//! `read_ahead.rs` reports each head that it has read, and hands one request at a time to the HTTP server, which parses it again and
-//! keeps the order of answers. `caller_connection.rs` serves the request in turn, with the answer of its early forward if there is
-//! one. [`pointvane_dispatch::starts_early`] decides which requests are forwarded early.
+//! `read_ahead.rs` reports each head that it has read, and passes one request at a time to the HTTP server,
+//! which parses it again and keeps responses in order. `caller_connection.rs` serves that request, with the
+//! response of its early forward if there is one. [`pointvane_dispatch::starts_early`] decides which requests
+//! are forwarded early.
 
 use {
     crate::{
@@ -31,15 +33,15 @@
 pub struct Pipeline<A: PlatformAdapter> {
     node: Rc<Node<A>>,
     caller: IpAddr,
-    /// Those that were read and not yet served, oldest first.
+    /// Requests that were read and are not yet served, oldest first.
     waiting: RefCell<VecDeque<WaitingRequest>>,
-    /// The head of the one that is served.
+    /// The head of the request that is being served.
     in_service: RefCell<Option<Bytes>>,
     answered: Cell<u64>,
-    was_answered: Notify,
+    answered_notify: Notify,
 }
 
-/// A request that was read and not yet served.
+/// A request that was read and is not yet served.
 struct WaitingRequest {
     arrived_at_us: u64,
     head: Bytes,
@@ -47,7 +49,7 @@
     early: Option<EarlyAnswer>,
 }
 
-/// An answer under way to a request whose turn has not come; given up when dropped.
+/// The pending response to a request that was forwarded early; its task is aborted on drop.
 pub struct EarlyAnswer {
     method: Method,
     uri: Uri,
@@ -56,20 +58,22 @@
     answer: JoinHandle<Response<RelayBody>>,
 }
 
-/// A request whose turn has come.
-pub struct Turn {
-    /// When it was read, in microseconds of the steady clock.
+/// The request that is served next.
+pub struct NextRequest {
+    /// When its head was read, in microseconds of the monotonic clock.
     pub arrived_at_us: u64,
-    /// Its answer, if it was forwarded early.
+    /// Its pending response, if it was forwarded early.
     pub early: Option<EarlyAnswer>,
 }
 
 impl EarlyAnswer {
-    /// Waits for the answer; none if `head` is of another request, or there is no answer.
+    /// Waits for the response; none if `head` belongs to another request, or the task failed.
     pub async fn take(mut self, head: &Parts) -> Option<Response<RelayBody>> {
-        let same = (&self.method, &self.uri, &self.headers) == (&head.method, &head.uri, &head.headers);
-        // A task that panicked gives none; the request may be repeated.
-        if same { (&mut self.answer).await.ok() } else { None }
+        let is_same_request =
+            (&self.method, &self.uri, &self.headers) == (&head.method, &head.uri, &head.headers);
+        // If the task panicked, the caller forwards the request again: only repeatable requests are forwarded
+        // early.
+        if is_same_request { (&mut self.answer).await.ok() } else { None }
     }
 }
 
@@ -80,7 +84,7 @@
 }
 
 impl<A: PlatformAdapter + 'static> Pipeline<A> {
-    /// A connection from a caller's address on which nothing has come.
+    /// Creates the state of a new connection from a caller's address.
     pub fn new(node: Rc<Node<A>>, caller: IpAddr) -> Self {
         Self {
             node,
@@ -88,16 +92,16 @@
             waiting: RefCell::default(),
             in_service: RefCell::default(),
             answered: Cell::default(),
-            was_answered: Notify::new(),
+            answered_notify: Notify::new(),
         }
     }
 
-    /// How many requests may be handed to the server: one more than were answered.
-    pub fn in_turn(&self) -> u64 {
+    /// How many requests of the connection may be passed to the server: one more than were answered.
+    pub fn released_requests(&self) -> u64 {
         self.answered.get() + 1
     }
 
-    /// From where a request came, and when.
+    /// Origin of a request that arrived at `at_us`.
     pub fn origin(&self, at_us: u64) -> RequestOrigin {
         RequestOrigin { caller: self.caller, at_us }
     }
@@ -107,72 +111,72 @@
         self.waiting.borrow().len() < self.node.dispatcher.pipeline.requests_max
     }
 
-    /// Takes note that the head of a request has come.
+    /// Records that the head of a request was read.
     pub fn arrived(&self, head: Bytes, has_body: bool) {
         let arrived_at_us = self.node.now_us();
         self.waiting.borrow_mut().push_back(WaitingRequest { arrived_at_us, head, has_body, early: None });
         self.forward_early();
     }
 
-    /// Takes the request whose turn has come; none if it was not seen before.
-    pub fn take(&self) -> Option<Turn> {
+    /// Takes the oldest waiting request; none if its head was not recognized when it was read.
+    pub fn take_next(&self) -> Option<NextRequest> {
         let WaitingRequest { arrived_at_us, head, early, .. } = self.waiting.borrow_mut().pop_front()?;
         self.in_service.replace(Some(head));
         self.forward_early();
-        Some(Turn { arrived_at_us, early })
+        Some(NextRequest { arrived_at_us, early })
     }
 
-    /// Takes note that the request in service is answered.
+    /// Records that the request in service was answered.
     pub fn answered(&self) {
         self.in_service.replace(None);
         self.answered.set(self.answered.get() + 1);
-        self.was_answered.notify_waiters();
+        self.answered_notify.notify_waiters();
     }
 
-    /// Whether a request is forwarded whose turn has not come.
-    pub fn has_early(&self) -> bool {
+    /// Whether a waiting request was forwarded early.
+    pub fn has_early_answers(&self) -> bool {
         self.waiting.borrow().iter().any(|waiting| waiting.early.is_some())
     }
 
-    /// Returns once no request is forwarded whose turn has not come.
-    pub async fn no_early(&self) {
-        while self.has_early() {
-            self.was_answered.notified().await;
+    /// Waits until no waiting request was forwarded early.
+    pub async fn early_answers_finished(&self) {
+        while self.has_early_answers() {
+            self.answered_notify.notified().await;
         }
     }
 
-    /// Forwards requests whose turn has not come, as far as that is allowed; none during a planned stop, whose answers close their
-    /// connections.
+    /// Forwards waiting requests early, as far as allowed; none during a graceful shutdown, when responses
+    /// close their connections.
     fn forward_early(&self) {
         let mut waiting = self.waiting.borrow_mut();
         let in_service = self.in_service.borrow();
-        let is_alone = in_service.is_none() && waiting.len() < 2;
-        if is_alone || waiting.is_empty() || !self.node.lifecycle.is_running() {
+        let is_only_request = in_service.is_none() && waiting.len() < 2;
+        if is_only_request || waiting.is_empty() || !self.node.lifecycle.is_running() {
             return;
         }
-        let Some(mut ahead) = in_service.iter().map(|head| self.kind(head)).collect::<Option<Vec<_>>>()
+        let Some(mut preceding) = in_service.iter().map(|head| self.kind(head)).collect::<Option<Vec<_>>>()
         else {
             return;
         };
         for request in waiting.iter_mut() {
             if let Some(early) = &request.early {
-                ahead.push(early.kind);
+                preceding.push(early.kind);
                 continue;
             }
-            let Some((head, kind)) = self.routed(request) else { return };
-            if !starts_early(kind, ahead.iter().copied(), &self.node.dispatcher.pipeline) {
+            let Some((head, kind)) = self.routable(request) else { return };
+            if !starts_early(kind, preceding.iter().copied(), &self.node.dispatcher.pipeline) {
                 return;
             }
-            // The first in turn is served without delay anyway.
-            if !ahead.is_empty() {
+            // The oldest request is served without delay anyway.
+            if !preceding.is_empty() {
                 request.early = Some(self.start(head, kind, request.arrived_at_us));
             }
-            ahead.push(kind);
+            preceding.push(kind);
         }
     }
 
-    /// The head of a request without a body, and the kind of its route; none if it has a body, or no route.
-    fn routed(&self, request: &WaitingRequest) -> Option<(Parts, RouteKind)> {
+    /// Parsed head and route kind of a request without a body; none if it has a body, or no route.
+    fn routable(&self, request: &WaitingRequest) -> Option<(Parts, RouteKind)> {
         let head = parse_head(&request.head).filter(|_| !request.has_body)?;
         let kind = traffic::route_kind(&self.node, &head)?;
         Some((head, kind))
--- a/crates/pointvane-node/src/probe.rs
+++ b/crates/pointvane-node/src/probe.rs
@@ -1,11 +1,12 @@
-//! Carries out searches for upstreams: sends probes, waits for answers, and reports them to the search.
+//! Runs searches for upstreams: sends probes, waits for responses and reports them to the search.
 //!
-//! A probe is a request to the health path of an upstream, whose answer carries a load report. Searches that want the same
-//! upstream at the same time share one probe. All decisions are those of [`pointvane_dispatch::Search`].
+//! A probe is a request to the health path of an upstream, whose response carries a load report. Concurrent
+//! searches that probe the same upstream share one probe. All decisions are made by
+//! [`pointvane_dispatch::Search`].
 
 use {
     crate::{
-        body::gather,
+        body::buffer_body,
         connections::{Connection, Connections, Purpose, RelayBody},
         node::Node,
         probe_table::ProbeAnswers,
@@ -26,10 +27,10 @@
     },
 };
 
-/// Most bytes of an answer's body that are read to keep the connection.
-const BODY_MAX_BYTES: usize = 4_096;
+/// Longest response body that is read to keep the connection, in bytes; the connection is closed beyond it.
+const PROBE_BODY_BYTES_MAX: usize = 4_096;
 
-/// Searches an upstream for a request that is sent now.
+/// Searches for an upstream for a request that is sent now.
 pub async fn search<A: PlatformAdapter + 'static>(
     node: &Rc<Node<A>>,
     request: &CallerRequest,
@@ -50,9 +51,9 @@
             SearchStep::Done(found) => return found,
             SearchStep::Pause { pause_us } => sleep(Duration::from_micros(pause_us)).await,
             SearchStep::Probe { upstreams, timeout_us } => {
-                let until = Instant::now() + Duration::from_micros(timeout_us);
+                let deadline = Instant::now() + Duration::from_micros(timeout_us);
                 let service = &request.routed.service;
-                if let Some(key) = probe_round(node, service, &upstreams, until, &mut search).await {
+                if let Some(key) = probe_round(node, service, &upstreams, deadline, &mut search).await {
                     return Found::Uncontended(key);
                 }
             }
@@ -60,19 +61,19 @@
     }
 }
 
-/// Probes some upstreams together; gives the first that the search chooses.
+/// Probes several upstreams concurrently; returns the first that the search chooses.
 async fn probe_round<A: PlatformAdapter + 'static>(
     node: &Rc<Node<A>>,
     service: &Name,
     keys: &[UpstreamKey],
-    until: Instant,
+    deadline: Instant,
     search: &mut Search,
 ) -> Option<UpstreamKey> {
     let (answers, mut answer) = unbounded_channel();
     let mut waiting = keys.iter().filter(|key| start_or_join(node, service, **key, answers.clone())).count();
     drop(answers);
     while waiting > 0 {
-        let Ok(Some(key)) = timeout_at(until, answer.recv()).await else {
+        let Ok(Some(key)) = timeout_at(deadline, answer.recv()).await else {
             break;
         };
         waiting -= 1;
@@ -83,7 +84,7 @@
     None
 }
 
-/// Starts a probe, or joins one under way; false when the probe budget is spent.
+/// Starts a probe, or joins one in progress; false if the probe budget is spent.
 fn start_or_join<A: PlatformAdapter + 'static>(
     node: &Rc<Node<A>>,
     service: &Name,
@@ -103,7 +104,7 @@
     true
 }
 
-/// One probe, to its end.
+/// Runs one probe and reports its outcome.
 async fn probe<A: PlatformAdapter>(node: Rc<Node<A>>, service: Name, key: UpstreamKey) {
     let outcome = probe_outcome(&node, &service, key).await;
     if let Some(outcome) = outcome
@@ -114,7 +115,7 @@
     node.dispatcher.probes.end(key, outcome == Some(ProbeOutcome::Healthy));
 }
 
-/// How a probe ended; none if the upstream or its service is no longer known.
+/// Sends a probe and classifies its outcome; none if the upstream or its service was removed.
 async fn probe_outcome<A: PlatformAdapter>(
     node: &Node<A>,
     service: &Name,
@@ -124,7 +125,7 @@
     let path = node.dispatcher.routes().health_path(service).cloned()?;
     let sent_at_us = node.now_us();
     let connections = &node.dispatcher.connections;
-    Some(match call(connections, address, &path).await {
+    Some(match request_health(connections, address, &path).await {
         Ok(answer) => {
             let time_us = node.now_us().saturating_sub(sent_at_us);
             read_answer(node, key, &id, &answer, time_us)
@@ -152,7 +153,7 @@
     if answered_by.is_some_and(|other| other.as_bytes() != id.as_str().as_bytes()) {
         return ProbeOutcome::OtherUpstream;
     }
-    node.heed_notices(key, answer.status(), headers, None);
+    node.apply_notices(key, answer.status(), headers, None);
     let load = node.load_report(headers);
     node.record_load(key, load);
     if load.is_none() && answer.status() == StatusCode::OK {
@@ -166,39 +167,48 @@
     if busy || answer.status() == StatusCode::OK { ProbeOutcome::Healthy } else { ProbeOutcome::Unhealthy }
 }
 
-/// Why a probe has no answer.
+/// Why a probe has no response.
 enum NoAnswer {
-    /// Nothing came in time on a connection that was kept.
+    /// No response within the timeout on a reused connection.
     KeptConnectionSilent,
-    /// Nothing came in time on a new connection, or it broke: ejection counts both alike.
+    /// Timeout on a new connection, or a broken connection; ejection counts both the same.
     Other,
 }
 
-/// Calls over a kept connection, and over a new one if the upstream had closed that, within [`PROBE_TIMEOUT_US`].
-async fn call(connections: &Connections, address: SocketAddr, path: &Name) -> Result<Response<()>, NoAnswer> {
-    let until = Instant::now() + Duration::from_micros(PROBE_TIMEOUT_US);
-    let kept = timeout_at(until, connections.get(address, Purpose::Probe)).await;
+/// Requests the health path over a pooled connection, then over a new one if the pooled one broke, within
+/// [`PROBE_TIMEOUT_US`].
+async fn request_health(
+    connections: &Connections,
+    address: SocketAddr,
+    path: &Name,
+) -> Result<Response<()>, NoAnswer> {
+    let deadline = Instant::now() + Duration::from_micros(PROBE_TIMEOUT_US);
+    let kept = timeout_at(deadline, connections.get(address, Purpose::Probe)).await;
     let Ok(Ok(connection)) = kept else { return Err(NoAnswer::Other) };
     let reused = connection.is_reused();
-    match timeout_at(until, call_over(connection, address, path)).await {
+    match timeout_at(deadline, request_health_over(connection, address, path)).await {
         Ok(Some(answer)) => return Ok(answer),
         Ok(None) if reused => {}
         Err(_) if reused => return Err(NoAnswer::KeptConnectionSilent),
         Ok(None) | Err(_) => return Err(NoAnswer::Other),
     }
-    let again = async {
+    let retry = async {
         let connection = connections.open(address, Purpose::Probe).await.ok()?;
-        call_over(connection, address, path).await
+        request_health_over(connection, address, path).await
     };
-    timeout_at(until, again).await.ok().flatten().ok_or(NoAnswer::Other)
+    timeout_at(deadline, retry).await.ok().flatten().ok_or(NoAnswer::Other)
 }
 
-async fn call_over(mut connection: Connection, address: SocketAddr, path: &Name) -> Option<Response<()>> {
+async fn request_health_over(
+    mut connection: Connection,
+    address: SocketAddr,
+    path: &Name,
+) -> Option<Response<()>> {
     let request = Request::get(path.as_str()).header(HOST, address.to_string());
     let request = request.body(RelayBody::whole(Bytes::new())).ok()?;
     let (head, body): (_, Incoming) = connection.send(request).await.ok()?.into_parts();
-    let gathered = gather(body, BODY_MAX_BYTES).await.ok()?;
-    if gathered.rest.is_none() {
+    let buffered = buffer_body(body, PROBE_BODY_BYTES_MAX).await.ok()?;
+    if buffered.rest.is_none() {
         connection.keep(&head.headers);
     }
     Some(Response::from_parts(head, ()))
--- a/crates/pointvane-node/src/probe_table.rs
+++ b/crates/pointvane-node/src/probe_table.rs
@@ -1,4 +1,4 @@
-//! The probes under way, and the searches that wait for their answers.
+//! The probes in progress, and the searches that wait for their responses.
 
 use {
     pointvane_dispatch::UpstreamKey,
@@ -6,33 +6,33 @@
     tokio::sync::mpsc::UnboundedSender,
 };
 
-/// Where a search receives the upstreams whose probes were answered.
+/// Channel on which a search receives the upstreams that were probed as healthy.
 pub type ProbeAnswers = UnboundedSender<UpstreamKey>;
 
-/// The probes under way, by upstream, with the searches that wait for each.
+/// The probes in progress by upstream, with the searches that wait for each.
 #[derive(Debug, Default)]
 pub struct ProbeTable {
     waiting: RefCell<HashMap<UpstreamKey, Vec<ProbeAnswers>>>,
 }
 
 impl ProbeTable {
-    /// Lets a search wait for a probe under way; false if there is none.
+    /// Subscribes a search to the probe of an upstream; false if none is in progress.
     pub fn join(&self, key: UpstreamKey, answers: &ProbeAnswers) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         let searches = waiting.get_mut(&key);
         searches.map(|searches| searches.push(answers.clone())).is_some()
     }
 
-    /// Adds a probe, and the search that it is sent for.
+    /// Adds a probe with the search that started it.
     pub fn start(&self, key: UpstreamKey, answers: ProbeAnswers) {
         self.waiting.borrow_mut().insert(key, vec![answers]);
     }
 
-    /// Removes a probe that has ended; the searches receive its upstream if that is healthy.
+    /// Removes a finished probe; its searches receive the upstream if it is healthy.
     pub fn end(&self, key: UpstreamKey, healthy: bool) {
         let searches = self.waiting.borrow_mut().remove(&key);
         for search in searches.into_iter().flatten().filter(|_| healthy) {
-            // A search that is over has dropped its receiver.
+            // The send fails if the search has ended and dropped its receiver.
             _ = search.send(key);
         }
     }
--- a/crates/pointvane-node/src/read_ahead.rs
+++ b/crates/pointvane-node/src/read_ahead.rs
@@ -1,5 +1,5 @@
-//! A caller's connection that is read ahead of the HTTP server: the server gets the bytes of one request at a time, and a caller that
-//! leaves is noticed while others of its requests wait.
+//! Reads a caller's connection ahead of the HTTP server. The server gets the bytes of one request at a time,
+//! and a caller that disconnects is detected while its later requests wait.
 
 use {
     crate::{
@@ -22,33 +22,33 @@
     },
 };
 
-/// Bytes that are read at once. Not measured: some ten heads.
+/// Bytes per read from the socket: about ten request heads.
 const READ_BYTES: usize = 4_096;
 
-/// Bytes of one request.
-struct Piece {
-    /// The request's number on its connection.
+/// Consecutive bytes of one request.
+struct Segment {
+    /// Index of the request on its connection.
     request: u64,
     bytes: Bytes,
 }
 
-/// A caller's connection that is read ahead.
+/// A stream over a caller's connection that is read ahead.
 pub struct ReadAhead<A: PlatformAdapter> {
     stream: TcpStream,
     pipeline: Rc<Pipeline<A>>,
     scan: RequestScan,
-    /// Bytes of which is not known yet to which request they belong.
+    /// Bytes that were read and not yet assigned to a request.
     unscanned: BytesMut,
-    /// Bytes to be handed on, oldest first.
-    pieces: VecDeque<Piece>,
-    /// Number of the request that the next scanned bytes belong to.
+    /// Scanned bytes that the server has not received yet, oldest first.
+    segments: VecDeque<Segment>,
+    /// Index of the request that the next scanned bytes belong to.
     request: u64,
     bytes_max: usize,
     ended: bool,
 }
 
 impl<A: PlatformAdapter + 'static> ReadAhead<A> {
-    /// A connection of which nothing was read.
+    /// Wraps a new connection; `bytes_max` bounds the bytes that wait for the server.
     pub fn new(
         stream: TcpStream,
         pipeline: Rc<Pipeline<A>>,
@@ -60,16 +60,17 @@
             pipeline,
             scan: RequestScan::new(head_bytes_max),
             unscanned: BytesMut::new(),
-            pieces: VecDeque::new(),
+            segments: VecDeque::new(),
             request: 0,
             bytes_max,
             ended: false,
         }
     }
 
-    /// Finds the requests in what has come.
+    /// Splits the unscanned bytes into requests.
     ///
-    /// A body is found whatever waits: the server may read it before the request is served, and would not be told to read it again.
+    /// Bodies are scanned even if the pipeline is full: the server may poll for a body before its request is
+    /// served, and would not be woken to poll again.
     fn scan(&mut self) {
         while self.pipeline.has_room() || !self.scan.expects_head() {
             let (length, head, ends) = match self.scan.next(&self.unscanned) {
@@ -82,33 +83,34 @@
             if head {
                 self.pipeline.arrived(bytes.clone(), !ends);
             }
-            self.pieces.push_back(Piece { request: self.request, bytes });
+            self.segments.push_back(Segment { request: self.request, bytes });
             self.request += u64::from(ends);
         }
     }
 
-    /// Hands bytes of the request whose turn it is to the server; false if there are none.
-    fn hand_on(&mut self, buffer: &mut ReadBuf<'_>) -> bool {
-        let in_turn = self.pipeline.in_turn();
-        let Some(piece) = self.pieces.front_mut().filter(|piece| piece.request < in_turn) else {
+    /// Copies bytes of the current request to the server's buffer; false if there are none.
+    fn deliver(&mut self, buffer: &mut ReadBuf<'_>) -> bool {
+        let released_requests = self.pipeline.released_requests();
+        let Some(segment) = self.segments.front_mut().filter(|segment| segment.request < released_requests)
+        else {
             return false;
         };
-        let length = piece.bytes.len().min(buffer.remaining());
-        buffer.put_slice(&piece.bytes[..length]);
-        piece.bytes.advance(length);
-        if piece.bytes.is_empty() {
-            self.pieces.pop_front();
+        let length = segment.bytes.len().min(buffer.remaining());
+        buffer.put_slice(&segment.bytes[..length]);
+        segment.bytes.advance(length);
+        if segment.bytes.is_empty() {
+            self.segments.pop_front();
         }
         true
     }
 
-    /// Whether more may be read: what waits for its turn is bounded.
+    /// Whether more may be read; bounds the bytes that wait behind the current request.
     fn may_read(&self) -> bool {
-        let waiting: usize = self.pieces.iter().map(|piece| piece.bytes.len()).sum();
-        !self.ended && (self.pieces.is_empty() || waiting + self.unscanned.len() < self.bytes_max)
+        let waiting: usize = self.segments.iter().map(|segment| segment.bytes.len()).sum();
+        !self.ended && (self.segments.is_empty() || waiting + self.unscanned.len() < self.bytes_max)
     }
 
-    /// Reads some bytes; false at the end of the connection.
+    /// Reads bytes from the socket; false at the end of the stream.
     fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         let mut space = [MaybeUninit::uninit(); READ_BYTES];
         let mut buffer = ReadBuf::uninit(&mut space);
@@ -117,16 +119,17 @@
         Poll::Ready(Ok(!buffer.filled().is_empty()))
     }
 
-    /// Length of the rest of a body that is handed on without a copy: all before it was, and it is its request's turn.
-    fn direct_body(&self) -> Option<usize> {
+    /// Remaining length of the current request's body if it can be read into the server's buffer directly, as
+    /// nothing before it is buffered.
+    fn direct_body_left(&self) -> Option<usize> {
         let is_next = self.unscanned.is_empty()
-            && self.pieces.is_empty()
+            && self.segments.is_empty()
             && !self.ended
-            && self.request < self.pipeline.in_turn();
+            && self.request < self.pipeline.released_requests();
         self.scan.body_left().filter(|_| is_next).map(|left| usize::try_from(left).unwrap_or(usize::MAX))
     }
 
-    /// Reads a part of a body straight into the server's buffer.
+    /// Reads a part of a body directly into the server's buffer.
     fn poll_body(
         &mut self,
         cx: &mut Context<'_>,
@@ -157,14 +160,14 @@
         }
         loop {
             self.scan();
-            if self.hand_on(buffer) || self.ended {
+            if self.deliver(buffer) || self.ended {
                 return Poll::Ready(Ok(()));
             }
-            if let Some(left) = self.direct_body() {
+            if let Some(left) = self.direct_body_left() {
                 return self.poll_body(cx, buffer, left);
             }
             if !self.may_read() {
-                // The server asks again once the request that it serves is answered.
+                // No waker is needed: the server polls again once the request in service is answered.
                 return Poll::Pending;
             }
             self.ended = !ready!(self.poll_fill(cx))?;
--- a/crates/pointvane-node/src/request.rs
+++ b/crates/pointvane-node/src/request.rs
@@ -1,7 +1,7 @@
 //! A caller's request, with the state that its attempts share.
 
 use {
-    crate::{body::Gathered, quota::QuotaCharge},
+    crate::{body::BufferedBody, quota::QuotaCharge},
     bytes::Bytes,
     hyper::{
         HeaderMap, Method, Uri,
@@ -20,10 +20,11 @@
     },
 };
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 ///
-/// The three programs have a list of their own (`pointvane-entry/src/answer.rs`): they drop proxy headers that the node passes on.
-static HOP_HEADERS: [HeaderName; 7] = [
+/// `pointvane-entry/src/answer.rs` has a list of its own: the programs there drop proxy headers that the node
+/// forwards.
+static HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
     PROXY_AUTHENTICATE,
@@ -33,17 +34,17 @@
     UPGRADE,
 ];
 
-/// What tells a request when it comes again.
+/// Fingerprints that identify a request when it is repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fingerprints {
-    /// With the same query.
+    /// Matches requests with the same query only.
     pub exact: RequestFingerprint,
-    /// With any query.
+    /// Matches requests with any query.
     pub any_query: RequestFingerprint,
 }
 
 impl Fingerprints {
-    /// Both, by which the request is judged.
+    /// Both fingerprints; the quarantine checks each.
     pub fn all(&self) -> [RequestFingerprint; 2] {
         [self.exact, self.any_query]
     }
@@ -52,40 +53,40 @@
 /// A caller's request, with the state that its attempts share.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// Where it goes.
+    /// Its route and service.
     pub routed: RoutedRequest,
-    /// Digest of the key that it carries, if any.
+    /// Digest of the API key that it carries, if any.
     pub key: Option<KeyDigest>,
-    /// What it takes of its client account's quota; given back unless it is sent.
+    /// Charge on its client account's quota; refunded unless the request is sent.
     pub charge: Option<QuotaCharge>,
-    /// The identity that its caller gave it, for log lines.
+    /// The request id that its caller sent, for log lines.
     pub id: String,
-    /// Where its caller's connection comes from.
+    /// IP address of the caller's connection.
     pub caller: IpAddr,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its target.
+    /// Request target.
     pub uri: Uri,
-    /// Its headers, without those of one connection only.
+    /// Headers without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body, if it is whole.
+    /// The body, if it is buffered completely.
     pub body: Option<Bytes>,
-    /// The first part and the rest of a body that is not; taken by the first attempt.
-    pub stream: RefCell<Option<Gathered>>,
-    /// What tells it when it comes again, without query and body, once that was asked for.
-    pub known_head: OnceCell<HeadFingerprint>,
-    /// The same with them.
-    pub known_fingerprints: OnceCell<Fingerprints>,
-    /// When it arrived, in microseconds of the steady clock.
+    /// A body that is streamed; taken by the first attempt.
+    pub stream: RefCell<Option<BufferedBody>>,
+    /// Cache of [`Self::head_fingerprint`].
+    pub head_fingerprint_cache: OnceCell<HeadFingerprint>,
+    /// Cache of [`Self::fingerprints`].
+    pub fingerprints_cache: OnceCell<Fingerprints>,
+    /// When it arrived, in microseconds of the monotonic clock.
     pub arrived_at_us: u64,
-    /// When it must be answered, on the same clock.
+    /// Deadline of the response, in microseconds of the same clock.
     pub answer_by_us: u64,
-    /// Upstreams that were chosen for it.
+    /// Upstreams that attempts have chosen so far.
     pub tried: RefCell<Vec<UpstreamKey>>,
-    /// Attempts of which at least a byte may have left.
+    /// Attempts of which at least one byte may have been sent.
     pub sends: Cell<u32>,
-    /// Time spent on upstreams that could not be reached, in microseconds.
-    pub unreached_us: Cell<u64>,
+    /// Time spent on attempts that were not sent, in microseconds.
+    pub unsent_us: Cell<u64>,
 }
 
 impl CallerRequest {
@@ -94,21 +95,23 @@
         now_us.saturating_sub(self.arrived_at_us) as f64 / US_PER_MS as f64
     }
 
-    /// The same without what was spent on upstreams that could not be reached: by then the request was admitted.
-    pub fn elapsed_at_reached_ms(&self, now_us: u64) -> f64 {
-        self.elapsed_ms(now_us.saturating_sub(self.unreached_us.get()))
+    /// Time since it arrived without the time spent on attempts that were not sent, in milliseconds: the
+    /// request had already been admitted by then.
+    pub fn elapsed_without_unsent_ms(&self, now_us: u64) -> f64 {
+        self.elapsed_ms(now_us.saturating_sub(self.unsent_us.get()))
     }
 
-    /// What tells this request when it comes again, with the same query and with any; the same of one without a query.
+    /// Fingerprints of the request with its exact query, or none, and with any query or none.
     ///
-    /// A streamed body is gone once the request was sent, so this is asked for before.
+    /// Must be computed before a streamed request is sent, since the first attempt takes the body; the result
+    /// is cached.
     pub fn fingerprints(&self) -> Fingerprints {
-        *self.known_fingerprints.get_or_init(|| {
+        *self.fingerprints_cache.get_or_init(|| {
             let head = self.head_fingerprint();
             let stream = self.stream.borrow();
             let (body, body_length) = match (&self.body, stream.as_ref()) {
                 (Some(bytes), _) => (&bytes[..], Some(bytes.len() as u64)),
-                (None, Some(gathered)) => (&gathered.bytes[..], gathered.length),
+                (None, Some(buffered)) => (&buffered.bytes[..], buffered.length),
                 (None, None) => (&[][..], None),
             };
             let body = BodyFingerprint::new(body, body_length);
@@ -119,31 +122,32 @@
         })
     }
 
-    /// The same without query and body.
+    /// Fingerprint of the request without its query and body; cached.
     pub fn head_fingerprint(&self) -> HeadFingerprint {
-        *self.known_head.get_or_init(|| {
+        *self.head_fingerprint_cache.get_or_init(|| {
             let host = requested_host(&self.headers, &self.uri);
             let credentials = self.headers.get(AUTHORIZATION).map(HeaderValue::as_bytes);
             HeadFingerprint::new(self.method.as_str(), host, self.uri.path(), credentials)
         })
     }
 
-    /// Size of the body, as far as it has come.
+    /// Length of the buffered part of the body, in bytes.
     pub fn body_bytes(&self) -> usize {
-        let streamed = || self.stream.borrow().as_ref().map_or(0, |gathered| gathered.bytes.len());
+        let streamed = || self.stream.borrow().as_ref().map_or(0, |buffered| buffered.bytes.len());
         self.body.as_ref().map_or_else(streamed, Bytes::len)
     }
 }
 
-/// The host that a request asks for; empty, which has no route, if it names none or one that is no text.
+/// Host of a request, from `Host` or else the target; empty, which matches no route, if missing or not
+/// visible ASCII.
 pub fn requested_host<'r>(headers: &'r HeaderMap, uri: &'r Uri) -> &'r str {
     let host = headers.get(HOST).and_then(|host| host.to_str().ok());
     host.or_else(|| uri.host()).unwrap_or_default()
 }
 
-/// Takes out the headers that concern one connection only.
-pub fn strip_hop_headers(headers: &mut HeaderMap) {
-    // Names that are no header names cannot be among the headers.
+/// Removes hop-by-hop headers, among them those that `Connection` lists.
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
+    // Invalid header names in the list cannot match any header, so they are skipped.
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -151,7 +155,7 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_HEADERS) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
--- a/crates/pointvane-node/src/request_head.rs
+++ b/crates/pointvane-node/src/request_head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests, parsed by `httparse`.
+//! Parses request heads with `httparse`.
 
 use {
     httparse::EMPTY_HEADER,
@@ -9,31 +9,31 @@
     },
 };
 
-/// Most headers of a head: as many as `hyper` takes.
+/// Most headers in a request head: the limit of `hyper`.
 pub const HEADERS_MAX: usize = 100;
 
-/// How the end of a request's body is marked.
+/// How the end of a request's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By a length in bytes; 0 without a body.
+    /// Length in bytes; 0 without a body.
     Length(u64),
-    /// By chunks.
+    /// Chunked transfer coding.
     Chunked,
-    /// The request is the last of its connection, or the framing is ambiguous.
+    /// The framing is ambiguous, or no further request follows on the connection.
     Unknown,
 }
 
-/// The framing of a request's body; unknown where length and transfer coding disagree or repeat.
+/// Determines the framing of a request's body; unknown if length and transfer coding conflict or repeat.
 pub fn framing(request: &httparse::Request<'_, '_>) -> Framing {
     let named = |name: &'static str| {
         let headers = request.headers.iter();
         headers.filter(move |header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
     };
-    let one_of_many = request.version == Some(1)
+    let is_persistent = request.version == Some(1)
         && request.method != Some("CONNECT")
         && named("connection").all(|value| value.eq_ignore_ascii_case(b"keep-alive"))
         && named("upgrade").next().is_none();
-    if !one_of_many {
+    if !is_persistent {
         return Framing::Unknown;
     }
     let mut codings = named("transfer-encoding");
@@ -46,7 +46,7 @@
     }
 }
 
-/// The length in a header; none unless it consists of digits alone.
+/// Parses a `Content-Length` value; none unless it consists of digits only.
 fn body_length(value: &[u8]) -> Option<u64> {
     let digits = value.iter().all(u8::is_ascii_digit);
     let text = str::from_utf8(value).ok().filter(|_| digits)?;
--- a/crates/pointvane-node/src/request_scan.rs
+++ b/crates/pointvane-node/src/request_scan.rs
@@ -1,42 +1,43 @@
-//! Scan of a connection for the ends of its requests.
+//! Finds the boundaries of the requests on a connection.
 //!
-//! Heads and chunk sizes are parsed by `httparse`. Bytes that cannot be parsed, or whose framing is ambiguous, end the scan for good: the
-//! rest of the connection is then handed on as it comes, and no later request is forwarded early.
+//! Heads and chunk sizes are parsed by `httparse`. Bytes that cannot be parsed, or whose framing is
+//! ambiguous, end the scan: the rest of the connection is passed through unchanged, and no later request is
+//! forwarded early.
 
 use {
     crate::request_head::{Framing, HEADERS_MAX, framing},
     httparse::{EMPTY_HEADER, Status},
 };
 
-/// Bytes of the line end behind a chunk.
+/// Length of the CRLF after a chunk, in bytes.
 const LINE_END_BYTES: u64 = 2;
-/// What ends the trailers of a chunked body.
+/// End of the trailers of a chunked body.
 const TRAILERS_END: &[u8] = b"\r\n\r\n";
 
-/// What the next bytes of a connection are.
+/// What the scan found in the next bytes of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scanned {
-    /// A whole head.
+    /// A complete request head.
     Head {
-        /// Its bytes.
+        /// Its length in bytes.
         length: usize,
         /// Whether the request ends with it.
         ends: bool,
     },
-    /// A part of the body.
+    /// A part of a request body, with its framing.
     Body {
-        /// Its bytes.
+        /// Its length in bytes.
         length: usize,
         /// Whether the request ends with it.
         ends: bool,
     },
     /// More bytes are needed.
     Incomplete,
-    /// Unknown, for the rest of the connection.
+    /// The rest of the connection cannot be scanned.
     Unknown,
 }
 
-/// What is expected next.
+/// State of the scan: the element that is expected next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Expected {
     Head,
@@ -47,21 +48,22 @@
     Unknown,
 }
 
-/// The scan of one connection.
+/// Scanner of one connection.
 #[derive(Debug)]
 pub struct RequestScan {
     expected: Expected,
-    /// Longest head, chunk size or trailers.
+    /// Longest head, chunk size or trailers, in bytes.
     head_bytes_max: usize,
 }
 
 impl RequestScan {
-    /// A connection on which nothing has come.
+    /// Creates a scanner at the start of a connection.
     pub fn new(head_bytes_max: usize) -> Self {
         Self { expected: Expected::Head, head_bytes_max }
     }
 
-    /// Consumes a part of the next bytes.
+    /// Scans the next element at the start of `bytes`; the caller removes the returned length before the next
+    /// call.
     pub fn next(&mut self, bytes: &[u8]) -> Scanned {
         if bytes.is_empty() {
             return Scanned::Incomplete;
@@ -75,17 +77,17 @@
             Expected::Unknown => Scanned::Unknown,
         };
         match scanned {
-            Scanned::Incomplete if bytes.len() > self.head_bytes_max => self.unknown(),
+            Scanned::Incomplete if bytes.len() > self.head_bytes_max => self.stop_scan(),
             scanned => scanned,
         }
     }
 
-    /// Whether the next bytes begin a request.
+    /// Whether the next bytes start a request.
     pub fn expects_head(&self) -> bool {
         self.expected == Expected::Head
     }
 
-    /// Bytes of a body of known length that are still to come; none where there is no such body.
+    /// Remaining bytes of a body of known length; none outside such a body.
     pub fn body_left(&self) -> Option<u64> {
         match self.expected {
             Expected::Body { left } => Some(left),
@@ -93,7 +95,7 @@
         }
     }
 
-    fn unknown(&mut self) -> Scanned {
+    fn stop_scan(&mut self) -> Scanned {
         self.expected = Expected::Unknown;
         Scanned::Unknown
     }
@@ -101,17 +103,17 @@
     fn head(&mut self, bytes: &[u8]) -> Scanned {
         let mut headers = [EMPTY_HEADER; HEADERS_MAX];
         let mut request = httparse::Request::new(&mut headers);
-        // The server that a malformed head is handed on to answers it.
+        // A malformed head is passed through to the HTTP server, which responds to it.
         let length = match request.parse(bytes) {
             Ok(Status::Complete(length)) => length,
             Ok(Status::Partial) => return Scanned::Incomplete,
-            Err(_) => return self.unknown(),
+            Err(_) => return self.stop_scan(),
         };
         self.expected = match framing(&request) {
             Framing::Length(0) => Expected::Head,
             Framing::Length(left) => Expected::Body { left },
             Framing::Chunked => Expected::ChunkSize,
-            Framing::Unknown => return self.unknown(),
+            Framing::Unknown => return self.stop_scan(),
         };
         Scanned::Head { length, ends: self.expected == Expected::Head }
     }
@@ -127,14 +129,14 @@
         let (length, size) = match httparse::parse_chunk_size(bytes) {
             Ok(Status::Complete(chunk)) => chunk,
             Ok(Status::Partial) => return Scanned::Incomplete,
-            Err(_) => return self.unknown(),
+            Err(_) => return self.stop_scan(),
         };
         if size == 0 {
-            // The line end before the trailers belongs to what ends them.
+            // The CRLF before the trailers is part of `TRAILERS_END`.
             self.expected = Expected::Trailers;
             return Scanned::Body { length: length - LINE_END_BYTES as usize, ends: false };
         }
-        let Some(left) = size.checked_add(LINE_END_BYTES) else { return self.unknown() };
+        let Some(left) = size.checked_add(LINE_END_BYTES) else { return self.stop_scan() };
         self.expected = Expected::Chunk { left };
         Scanned::Body { length, ends: false }
     }
--- a/crates/pointvane-node/src/serve.rs
+++ b/crates/pointvane-node/src/serve.rs
@@ -19,13 +19,13 @@
     },
 };
 
-/// Smallest buffer that `hyper` takes, in bytes.
-const HEAD_BYTES_MIN: usize = 8_192;
+/// Smallest read buffer that `hyper` accepts, in bytes.
+const READ_BUFFER_BYTES_MIN: usize = 8_192;
 
-/// Accepts connections until the node closes; each goes to `serve_connection`.
+/// Accepts connections until the node closes, and serves each with `serve_connection`.
 ///
 /// # Errors
-/// When the address cannot be listened on.
+/// When binding the address fails.
 pub async fn listen<A, C, F>(node: Rc<Node<A>>, address: SocketAddr, serve_connection: C) -> Result<()>
 where
     A: PlatformAdapter + 'static,
@@ -37,7 +37,7 @@
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
-                    // An error is about the connection that was to be accepted, and its caller's to notice.
+                    // An accept error concerns a single connection; its caller sees it fail.
                     if let Ok((stream, _)) = accepted && socket::watch_peer(&stream).is_ok() {
                         spawn_local(serve_connection(Rc::clone(&node), stream));
                     }
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-/// Serves a connection whose requests go to `handle`, one after another.
+/// Serves a connection, passing its requests to `handle` one at a time.
 pub async fn serve_in_turn<A, H, F>(node: Rc<Node<A>>, stream: TcpStream, handle: H)
 where
     A: PlatformAdapter + 'static,
@@ -61,12 +61,12 @@
     serve_http(&node, stream, service, node.lifecycle.closing()).await;
 }
 
-/// Longest head that is read, in bytes.
+/// Longest request head that is read, in bytes.
 pub fn head_bytes_max<A: PlatformAdapter>(node: &Node<A>) -> usize {
-    node.dispatcher.routes().limits().header_bytes_max.max(HEAD_BYTES_MIN)
+    node.dispatcher.routes().limits().header_bytes_max.max(READ_BUFFER_BYTES_MIN)
 }
 
-/// Serves a connection until its caller closes it, or until it is idle once `closing` has returned.
+/// Serves a connection until its caller closes it; after `closing` completes, until it is idle.
 pub async fn serve_http<A, S>(
     node: &Node<A>,
     stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
@@ -89,6 +89,6 @@
         () = closing => {}
     }
     served.as_mut().graceful_shutdown();
-    // An error is about this connection alone, and its caller's to notice.
+    // An error concerns this connection only; its caller sees it fail.
     _ = served.await;
 }
--- a/crates/pointvane-node/src/traffic.rs
+++ b/crates/pointvane-node/src/traffic.rs
@@ -1,14 +1,14 @@
-//! One request of a caller: find the route, read the body, forward, answer, report.
+//! Handles a caller's request: finds its route, reads its body, forwards it, responds and reports the result.
 
 use {
     crate::{
-        answer::{Refused, refusal},
-        body::{Gathered, gather},
+        answer::{Refused, refusal_response},
+        body::{BufferedBody, buffer_body},
         connections::RelayBody,
         forward::{FinalAnswer, forward},
         node::Node,
         quota::QuotaCharge,
-        request::{CallerRequest, requested_host, strip_hop_headers},
+        request::{CallerRequest, requested_host, strip_hop_by_hop_headers},
     },
     hyper::{
         Response, StatusCode,
@@ -27,21 +27,22 @@
     },
 };
 
-/// Bytes of a request's body that are gathered before it is sent, so that it can be sent again elsewhere.
+/// Longest request body that is buffered before it is sent, so that it can be retried at another upstream, in
+/// bytes.
 ///
-/// Bounds the memory of a request; longer bodies are streamed and sent once.
-const BODY_GATHERED_BYTES: usize = 512 << 10;
+/// Bounds the memory of a request; longer bodies are streamed and sent only once.
+const BODY_BUFFER_BYTES: usize = 512 << 10;
 
-/// From where and when a request came.
+/// Where a request came from, and when.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestOrigin {
-    /// Where its caller's connection comes from.
+    /// IP address of the caller's connection.
     pub caller: IpAddr,
-    /// When it arrived, in microseconds of the steady clock.
+    /// When it arrived, in microseconds of the monotonic clock.
     pub at_us: u64,
 }
 
-/// Answers one request of a caller.
+/// Handles one request of a caller and builds its response.
 pub async fn answer<A: PlatformAdapter + 'static>(
     node: Rc<Node<A>>,
     head: Parts,
@@ -49,7 +50,7 @@
     origin: RequestOrigin,
 ) -> Response<RelayBody> {
     let id = head.headers.get(&node.headers.request_id).cloned();
-    let answer = match read(&node, head, body, origin).await {
+    let answer = match read_request(&node, head, body, origin).await {
         Ok(request) => {
             let request = Rc::new(request);
             let answer = forward(Rc::clone(&node), Rc::clone(&request)).await;
@@ -57,58 +58,65 @@
             answer
         }
         Err(refused) => {
-            report_unrouted(&node, id.as_ref(), refused, origin.at_us);
+            report_refused_before_forward(&node, id.as_ref(), refused, origin.at_us);
             Err(refused)
         }
     };
-    answer.unwrap_or_else(|refused| refusal(&node, refused, id))
+    answer.unwrap_or_else(|refused| refusal_response(&node, refused, id))
 }
 
-/// What may be done with requests of the route that a head asks for; none if there is no such route.
+/// Kind of the route that a request head matches, such as repeatable; none if it matches no route.
 pub fn route_kind<A: PlatformAdapter>(node: &Node<A>, head: &Parts) -> Option<RouteKind> {
-    // Why there is none is told to the caller when the request is answered.
-    routed(node, head).ok().map(|routed| routed.route.kind)
+    // The error is reported to the caller when the request is served.
+    find_route(node, head).ok().map(|routed| routed.route.kind)
 }
 
-/// Finds the route of a request and reads its body.
-async fn read<A: PlatformAdapter>(
+/// Authorizes a request, finds its route and reads its body.
+///
+/// # Errors
+/// Why the request is refused.
+async fn read_request<A: PlatformAdapter>(
     node: &Node<A>,
     mut head: Parts,
     body: Option<Incoming>,
     origin: RequestOrigin,
 ) -> Result<CallerRequest, Refused> {
-    let caller_waits_ms = node.headers.caller_waits_ms(&head.headers);
+    let caller_timeout_ms = node.headers.caller_timeout_ms(&head.headers);
     if !node.knows_platform() {
-        let wait_ms = first_state_wait_ms(node.dispatcher.start_wait_ms, node.running_ms(), caller_waits_ms);
+        let wait_ms =
+            first_state_wait_ms(node.dispatcher.start_wait_ms, node.running_ms(), caller_timeout_ms);
         node.platform.first_state(Duration::from_millis(wait_ms)).await;
     }
     let key = node.presented_key(&head.headers);
-    let routed = node.authorize(routed(node, &head)?, key.as_ref())?;
+    let routed = node.authorize(find_route(node, &head)?, key.as_ref())?;
     let charge = node.charge(&routed)?;
-    let answer_by_us = answer_by_us(&routed.route, caller_waits_ms, origin.at_us);
-    let gathered = read_body(node, body).await?;
+    let answer_by_us = answer_by_us(&routed.route, caller_timeout_ms, origin.at_us);
+    let buffered = read_body(node, body).await?;
     if node.now_us() >= answer_by_us {
         return Err(ErrorKind::DeadlinePassed.into());
     }
     let id = node.headers.request_id_text(&head.headers);
     node.headers.strip_account(&mut head.headers);
-    let request = caller_request(id, head, gathered, Access { routed, key, charge }, origin, answer_by_us);
+    let request = caller_request(id, head, buffered, Access { routed, key, charge }, origin, answer_by_us);
     if request.body.is_none() {
-        // The first attempt takes the body, after which nothing could tell the request any more.
+        // Computed and cached now, since the first attempt takes the body, which the fingerprints depend on.
         request.fingerprints();
     }
     Ok(request)
 }
 
-/// Reads a request's body, or its first part if it is long.
-async fn read_body<A: PlatformAdapter>(node: &Node<A>, body: Option<Incoming>) -> Result<Gathered, Refused> {
-    let Some(body) = body else { return Ok(Gathered::empty()) };
+/// Reads a request's body, or its first part if it exceeds the buffer.
+async fn read_body<A: PlatformAdapter>(
+    node: &Node<A>,
+    body: Option<Incoming>,
+) -> Result<BufferedBody, Refused> {
+    let Some(body) = body else { return Ok(BufferedBody::empty()) };
     let body_bytes_max = node.dispatcher.routes().limits().body_bytes_max;
     if body.size_hint().exact().is_some_and(|length| length > body_bytes_max) {
         return Err(Refused { status: Some(StatusCode::PAYLOAD_TOO_LARGE), ..ErrorKind::BadRequest.into() });
     }
-    // A caller that breaks its body off is not there to be told why.
-    Ok(gather(body, BODY_GATHERED_BYTES).await.map_err(|_| ErrorKind::BadRequest)?)
+    // A caller whose body breaks off has disconnected, so the error does not reach it.
+    Ok(buffer_body(body, BODY_BUFFER_BYTES).await.map_err(|_| ErrorKind::BadRequest)?)
 }
 
 fn report_end<A: PlatformAdapter>(node: &Node<A>, request: &CallerRequest, answer: &FinalAnswer) {
@@ -159,7 +167,7 @@
     });
 }
 
-fn report_unrouted<A: PlatformAdapter>(
+fn report_refused_before_forward<A: PlatformAdapter>(
     node: &Node<A>,
     id: Option<&HeaderValue>,
     refused: Refused,
@@ -169,7 +177,7 @@
     node.report.refused(refused.kind);
     let row = refused.kind.answer();
     node.report.failure(now_us, || EventKind::RequestRefused {
-        request: text(id),
+        request: header_text(id),
         route: None,
         version: node.dispatcher.routes().version(),
         error: row.name.into(),
@@ -185,7 +193,7 @@
     });
 }
 
-fn routed<A: PlatformAdapter>(node: &Node<A>, head: &Parts) -> Result<RoutedRequest, Refused> {
+fn find_route<A: PlatformAdapter>(node: &Node<A>, head: &Parts) -> Result<RoutedRequest, Refused> {
     if node.dispatcher.routes().version() == 0 {
         let retry_after_ms = Some(first_state_retry_after_ms(node.running_ms()));
         return Err(Refused { retry_after_ms, ..ErrorKind::NotReady.into() });
@@ -194,7 +202,7 @@
     routed.ok_or_else(|| ErrorKind::NoSuchService.into())
 }
 
-/// Where a request goes, and by what right.
+/// Route of a request, with its authorization and quota charge.
 struct Access {
     routed: RoutedRequest,
     key: Option<KeyDigest>,
@@ -204,16 +212,16 @@
 fn caller_request(
     id: String,
     head: Parts,
-    gathered: Gathered,
+    buffered: BufferedBody,
     access: Access,
     origin: RequestOrigin,
     answer_by_us: u64,
 ) -> CallerRequest {
     let mut headers = head.headers;
-    strip_hop_headers(&mut headers);
-    let (body, stream) = match gathered.rest.is_some() {
-        true => (None, Some(gathered)),
-        false => (Some(gathered.bytes), None),
+    strip_hop_by_hop_headers(&mut headers);
+    let (body, stream) = match buffered.rest.is_some() {
+        true => (None, Some(buffered)),
+        false => (Some(buffered.bytes), None),
     };
     let Access { routed, key, charge } = access;
     CallerRequest {
@@ -227,17 +235,17 @@
         headers,
         body,
         stream: RefCell::new(stream),
-        known_head: OnceCell::new(),
-        known_fingerprints: OnceCell::new(),
+        head_fingerprint_cache: OnceCell::new(),
+        fingerprints_cache: OnceCell::new(),
         arrived_at_us: origin.at_us,
         answer_by_us,
         tried: RefCell::default(),
         sends: Cell::new(0),
-        unreached_us: Cell::new(0),
+        unsent_us: Cell::new(0),
     }
 }
 
-/// An id for a log line; empty if the caller gave none, or one that is no text.
-fn text(id: Option<&HeaderValue>) -> String {
+/// A request id for a log line; empty if the caller sent none, or it is not visible ASCII.
+fn header_text(id: Option<&HeaderValue>) -> String {
     id.and_then(|id| id.to_str().ok()).unwrap_or_default().into()
 }
