--- a/crates/pointvane-node/src/body.rs
+++ b/crates/pointvane-node/src/body.rs
@@ -97,17 +97,17 @@
     let mut size = 0;
     while size <= bytes_max {
         let Some(frame) = body.frame().await else {
-            return Ok(BufferedBody { bytes: concat(parts), rest: None, length });
+            return Ok(BufferedBody { bytes: concat_parts(parts), rest: None, length });
         };
         if let Ok(data) = frame?.into_data() {
             size += data.len();
             parts.push(data);
         }
     }
-    Ok(BufferedBody { bytes: concat(parts), rest: Some(body), length })
+    Ok(BufferedBody { bytes: concat_parts(parts), rest: Some(body), length })
 }
 
-fn concat(mut parts: Vec<Bytes>) -> Bytes {
+fn concat_parts(mut parts: Vec<Bytes>) -> Bytes {
     match parts.len() {
         0 => Bytes::new(),
         1 => parts.swap_remove(0),
