--- a/crates/pointvane-node/src/dispatcher.rs
+++ b/crates/pointvane-node/src/dispatcher.rs
@@ -42,7 +42,7 @@
     pub hedges: bool,
     /// Pooled connections to upstreams.
     pub connections: Connections,
-    /// Probes under way.
+    /// Probes in progress.
     pub probes: ProbeTable,
     /// Quotas of client accounts.
     pub quotas: SharedQuotas,
