--- a/crates/pointvane-dispatch/benches/candidate_quantiles.rs
+++ b/crates/pointvane-dispatch/benches/candidate_quantiles.rs
@@ -31,10 +31,10 @@
     for size in SIZES {
         let mut pool = Pool::new(RankingOptions::default(), "one".into(), 1);
         (0..size).for_each(|number| _ = pool.upsert(record(number), 0));
-        let wanted =
+        let criteria =
             Wanted { priority: 0, tried: &[], body_bytes: 300, count: 6, regions: &AllowedRegions::ANY };
         let service = "dispatch".into();
-        let mut rank = || black_box(pool.candidates(&service, &wanted, black_box(NOW_US)));
+        let mut rank = || black_box(pool.candidates(&service, &criteria, black_box(NOW_US)));
         let mut times_ns: Vec<u128> = (0..CALLS)
             .map(|_| {
                 let started = Instant::now();
--- a/crates/pointvane-dispatch/benches/candidates.rs
+++ b/crates/pointvane-dispatch/benches/candidates.rs
@@ -31,10 +31,10 @@
     for size in SIZES {
         let mut pool = Pool::new(RankingOptions::default(), DATA_CENTRES[0].into(), 1);
         (0..size).for_each(|number| _ = pool.upsert(record(number), 0));
-        let wanted =
+        let criteria =
             Wanted { priority: 0, tried: &[], body_bytes: 300, count: 6, regions: &AllowedRegions::ANY };
         criterion.bench_function(&format!("candidates of {size} upstreams"), |bencher| {
-            bencher.iter(|| black_box(pool.candidates(&"dispatch".into(), &wanted, black_box(NOW_US))));
+            bencher.iter(|| black_box(pool.candidates(&"dispatch".into(), &criteria, black_box(NOW_US))));
         });
     }
 }
--- a/crates/pointvane-dispatch/src/load_curve.rs
+++ b/crates/pointvane-dispatch/src/load_curve.rs
@@ -14,7 +14,7 @@
 const LEVELS_MAX: u32 = 12;
 /// Prior: share of the slots above which work is assumed to take [`PRIOR_FACTOR`] times as long.
 ///
-/// Without a prior, upstreams that do slow down are overfilled until enough responses were recorded.
+/// With neither a prior nor learning, upstreams that do slow down were overfilled.
 const PRIOR_KNEE_SHARE: f32 = 0.8;
 /// Prior: factor on the latency above [`PRIOR_KNEE_SHARE`].
 const PRIOR_FACTOR: f32 = 1.5;
@@ -26,7 +26,7 @@
 ///
 /// Latencies vary widely, since noise from co-located workloads changes faster than load reports show, so
 /// many responses are averaged. With 24, a half-life of 7 s and a prior weight of 1, a change of the knee is
-/// followed sooner, but steady services are estimated worse.
+/// followed sooner, but results without such changes were slightly worse.
 const LEVEL_WEIGHT_MAX: f32 = 80.0;
 /// Half-life of the weight of a response, in microseconds. See [`LEVEL_WEIGHT_MAX`] for the effect of a
 /// shorter one.
--- a/crates/pointvane-dispatch/src/search.rs
+++ b/crates/pointvane-dispatch/src/search.rs
@@ -3,11 +3,11 @@
 //!
 //! A search makes passes until it finds an uncontended upstream or its time is over. A pass ranks the
 //! candidates. If none of them has a fresh report that shows it uncontended, the pass probes the best-ranked
-//! ones in two rounds and takes the first one that the answer shows to be uncontended. The state machine
-//! returns the next step; its caller sends probes, waits, and reports the answers. Probes are sent
+//! ones in two rounds and takes the first one whose response shows it to be uncontended. The state machine
+//! returns the next step; its caller sends probes, waits, and reports the responses. Probes are sent
 //! immediately before the request, since a report is outdated after some milliseconds. Where upstreams report
-//! no load, a few are probed and the first to answer is taken, since an upstream slowed by co-located
-//! workloads answers late. Where probing is disabled, the best-ranked candidate is taken at once. Tests:
+//! no load, a few are probed and the first to respond is taken, since an upstream slowed by co-located
+//! workloads responds late. Where probing is disabled, the best-ranked candidate is taken at once. Tests:
 //! `tests/search.rs`.
 
 use {
@@ -29,14 +29,14 @@
 const ROUND_WITHOUT_LOAD_REPORTS: usize = 3;
 /// Pause between two passes, in microseconds.
 const PASS_PAUSE_US: u64 = 6_000;
-/// Maximum wait for the answers to one round of probes, in microseconds.
+/// Maximum wait for the responses to one round of probes, in microseconds.
 const ROUND_TIMEOUT_MAX_US: u64 = 30_000;
-/// Minimum wait for the answers to one round of probes, in microseconds, even if the time of the search is
+/// Minimum wait for the responses to one round of probes, in microseconds, even if the time of the search is
 /// over.
 const ROUND_TIMEOUT_MIN_US: u64 = 6_000;
-/// Time after which a probe without an answer has failed, in microseconds.
+/// Time after which a probe without a response has failed, in microseconds.
 ///
-/// Longer than the wait for a round: an answer that is late for one search is still of use to the next.
+/// Longer than the wait for a round: a response that is late for one search is still of use to the next.
 pub const PROBE_TIMEOUT_US: u64 = 150_000;
 
 /// Time for which a request's search looks for an uncontended upstream, in milliseconds.
@@ -81,12 +81,12 @@
 /// The next step of a search, for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SearchStep {
-    /// Probe these upstreams concurrently. Report answers by [`Search::answered`] until one is chosen, all
-    /// have answered or the timeout has passed, then call [`Search::next`].
+    /// Probe these upstreams concurrently. Report responses by [`Search::answered`] until one is chosen, all
+    /// have responded or the timeout has passed, then call [`Search::next`].
     Probe {
         /// The upstreams to probe.
         upstreams: Vec<UpstreamKey>,
-        /// Maximum wait for the answers, in microseconds.
+        /// Maximum wait for the responses, in microseconds.
         timeout_us: u64,
     },
     /// Wait, then call [`Search::next`].
@@ -158,10 +158,11 @@
         }
     }
 
-    /// Records a healthy answer to a probe; true if its upstream is chosen.
+    /// Records a healthy response to a probe; true if its upstream is chosen.
     pub fn answered(&mut self, key: UpstreamKey, pool: &Pool, now_us: u64) -> bool {
         self.answered.push(key);
-        // Without load reports the first answer decides: an upstream slow to answer is slow to do work, too.
+        // Without load reports the first response decides: an upstream slow to respond is slow to do work,
+        // too.
         let is_chosen = !pool.reports_load(&self.request.service) || pool.is_uncontended(key, now_us);
         is_chosen && pool.eligibility(key, now_us).is_ok()
     }
@@ -199,8 +200,8 @@
         None
     }
 
-    /// The cheapest of the candidates that answered in this pass or advertise a limit; if there are none, the
-    /// best-ranked candidate.
+    /// The cheapest of the candidates that responded in this pass or advertise a limit; if there are none,
+    /// the best-ranked candidate.
     fn end_pass(&mut self, pool: &mut Pool, now_us: u64) -> Found {
         self.in_pass = false;
         let far_factor = pool.far_factor(self.request.body_bytes);
--- a/crates/pointvane-dispatch/src/warm_up.rs
+++ b/crates/pointvane-dispatch/src/warm_up.rs
@@ -7,7 +7,7 @@
 //! take. An unused draw expires with its interval, so that the fleet sends no more than the draws of the
 //! interval, however many requests arrive at once. Inputs: the rate configured for the service, the
 //! deployment's bound on it, the largest number of nodes ever seen at once, and the end of the warm-up by the
-//! upstream's entry and its answers to probes. Without a rate, cold upstreams are only ranked lower
+//! upstream's entry and its responses to probes. Without a rate, cold upstreams are only ranked lower
 //! (`cost.rs`). Tests: `tests/warm_up.rs`.
 
 use {
--- a/crates/pointvane-dispatch/tests/search.rs
+++ b/crates/pointvane-dispatch/tests/search.rs
@@ -162,7 +162,8 @@
     expect_that!(step, matches_pattern!(SearchStep::Done(matches_pattern!(Found::Uncontended(_)))));
 }
 
-/// A pool with a service whose upstreams report no load, which is known after three answers without a report.
+/// A pool with a service whose upstreams report no load, which is known after three responses without a
+/// report.
 fn without_load_reports(upstreams: usize) -> Pool {
     let mut pool = pool(upstreams);
     let key = all_candidates(&mut pool)[0];
--- a/crates/pointvane-dispatch/tests/upstreams.rs
+++ b/crates/pointvane-dispatch/tests/upstreams.rs
@@ -57,7 +57,7 @@
 }
 
 #[gtest]
-fn a_fresh_good_report_makes_an_upstream_uncontended_until_it_is_old_or_work_is_sent() {
+fn a_fresh_idle_report_makes_an_upstream_uncontended_until_it_is_old_or_work_is_sent() {
     let mut pool = pool(&[("a", "one")]);
     let a = key(&mut pool, "a");
     expect_that!(pool.is_uncontended(a, MS), eq(false), "no report yet");
