--- a/crates/pointvane-dispatch/src/upstream.rs
+++ b/crates/pointvane-dispatch/src/upstream.rs
@@ -27,8 +27,8 @@
 
 /// Maximum warm-up time that is accepted, in milliseconds; longer ones are cut to it.
 ///
-/// Far above actual warm-up times, which are some seconds. Entries may be written by other programs, and a
-/// huge value would overflow the clock.
+/// Far above the warm-up times of known upstreams, which are 3 s. Entries may be written by other programs,
+/// and a huge value would overflow the clock.
 const WARM_UP_MAX_MS: u64 = 600_000;
 
 /// What an upstream has announced about itself in this incarnation (see `notices.rs`).
