--- a/crates/pointvane-dispatch/src/directory.rs
+++ b/crates/pointvane-dispatch/src/directory.rs
@@ -1,30 +1,33 @@
-//! Directory: which nodes a caller is sent to.
+//! Directory: which node addresses a caller gets.
 //!
-//! Inputs: the nodes that accept callers, by the membership of the node that answers, and the data centre that the caller
-//! names. The list is the same from every node, and steady, since callers drop connections to nodes that a new answer lacks.
+//! Inputs: the nodes that accept callers, from the membership view of the answering node, and the data centre
+//! that the caller names. The list is sorted, so that all nodes answer alike and answers change only with the
+//! membership: callers close their connections to nodes that are missing from a new answer.
 
 use {pointvane_core::Name, std::net::SocketAddr};
 
-/// Most addresses in one answer. Not measured: it bounds the answer.
+/// Maximum number of addresses in one answer; limits its size.
 const ADDRESSES_MAX: usize = 64;
-/// Nodes of the caller's data centre that are enough without the others: two, so that one may fail.
-const NEAR_MIN: usize = 2;
+/// Minimum number of nodes in the caller's data centre for an answer without nodes of others: two, so that
+/// one may fail.
+const LOCAL_NODES_MIN: usize = 2;
 
-/// A node that callers may be sent to.
+/// A node that accepts requests of callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryMember {
-    /// Where it accepts requests.
+    /// The address on which it accepts requests.
     pub address: SocketAddr,
-    /// The data centre that it is in.
+    /// Its data centre.
     pub data_centre: Name,
 }
 
-/// The nodes of the caller's data centre, or all if they are too few.
+/// The addresses of the nodes in the caller's data centre, or of all nodes if those are too few or the caller
+/// names none.
 pub fn directory_addresses(members: &[DirectoryMember], data_centre: Option<&Name>) -> Vec<SocketAddr> {
-    let is_near = |member: &&DirectoryMember| Some(&member.data_centre) == data_centre;
-    let near: Vec<SocketAddr> = members.iter().filter(is_near).map(|member| member.address).collect();
-    let mut addresses = match near.len() >= NEAR_MIN {
-        true => near,
+    let is_local = |member: &&DirectoryMember| Some(&member.data_centre) == data_centre;
+    let local: Vec<SocketAddr> = members.iter().filter(is_local).map(|member| member.address).collect();
+    let mut addresses = match local.len() >= LOCAL_NODES_MIN {
+        true => local,
         false => members.iter().map(|member| member.address).collect(),
     };
     addresses.sort_unstable();
--- a/crates/pointvane-dispatch/src/lib.rs
+++ b/crates/pointvane-dispatch/src/lib.rs
@@ -1,29 +1,31 @@
-//! Decisions of the node (the one-process form of pointvane), free of I/O, threads, clocks and ambient randomness.
+//! Sans-I/O decision logic of a pointvane node, the form of pointvane in which one process accepts requests of
+//! callers and dispatches them to upstreams.
 //!
-//! Events and the time come in, decisions go out, randomness is seeded; `pointvane-node` is the shell that carries them out.
-//! One file holds one rule, with its inputs, reasons and constants:
+//! Nothing here performs I/O, starts threads, reads a clock or draws from an unseeded random generator:
+//! callers pass in events and the current time and get decisions back, which `pointvane-node` carries out.
+//! Each file implements one rule and documents its inputs, reasons and constants:
 //!
 //! | question | file |
 //! | --- | --- |
-//! | which service a request goes to | `routes.rs` |
-//! | until when it must be answered | `deadline.rs` |
-//! | how long it is held at a node that has just started | `first_state.rs` |
-//! | which client account a request counts for | `access.rs` |
-//! | whether an account's quota admits it | `quota.rs` |
-//! | whether an upstream may get work at all | `eligibility.rs`, with `ineligible.rs`, `evacuations.rs`, `notices.rs`, `limits.rs`, `warm_up.rs`, `ejection.rs`, `allowed_regions.rs` |
-//! | which upstreams are candidates, and in which order | `ranking.rs`, `subset.rs`, `cost.rs` |
+//! | which service a request is routed to | `routes.rs` |
+//! | the deadline of a request | `deadline.rs` |
+//! | how long a node that has just started holds a request | `first_state.rs` |
+//! | which client account a request is charged to | `access.rs` |
+//! | whether the quota of that account admits the request | `quota.rs` |
+//! | whether an upstream is eligible for new requests | `eligibility.rs`, with `ineligible.rs`, `evacuations.rs`, `notices.rs`, `limits.rs`, `warm_up.rs`, `ejection.rs`, `allowed_regions.rs` |
+//! | which upstreams are candidates, and how they are ranked | `ranking.rs`, `subset.rs`, `cost.rs` |
 //! | which pipelined requests are forwarded early | `pipeline.rs` |
-//! | which candidates are probed, and which is chosen | `search.rs` |
-//! | how many of their slots are filled, and what a fuller one costs | `load_curve.rs` |
-//! | whether it is sent or refused | `admission.rs` |
-//! | whether another attempt is made, and what is answered | `attempts.rs`, `retry.rs`, with `outcome.rs` |
-//! | when a second attempt runs beside the first | `hedge.rs` |
-//! | when an upstream that fails gets no new work | `ejection.rs` |
-//! | how many retries and probes a node may spend | `budget.rs` |
-//! | how a node learns what the platform holds, and passes it on | `replica.rs` and its modules |
-//! | which requests are not sent since upstreams crash under them | `quarantine.rs` |
-//! | which requests count as the same | `fingerprint.rs` |
-//! | which nodes a caller is sent to | `directory.rs` |
+//! | which candidates are probed, and which one is selected | `search.rs` |
+//! | how many slots of an upstream are occupied, and how latency grows with occupancy | `load_curve.rs` |
+//! | whether a request is sent to an upstream or refused | `admission.rs` |
+//! | whether a failed attempt is retried, and what the caller is answered | `attempts.rs`, `retry.rs`, with `outcome.rs` |
+//! | when a request is hedged with a second concurrent attempt | `hedge.rs` |
+//! | when a failing upstream is ejected | `ejection.rs` |
+//! | how many retries and probes a node may send | `budget.rs` |
+//! | how nodes replicate the state that the platform publishes | `replica.rs` and its modules |
+//! | which requests are quarantined because they crash upstreams | `quarantine.rs` |
+//! | which requests are considered identical | `fingerprint.rs` |
+//! | which node addresses a caller gets | `directory.rs` |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/pointvane-dispatch/src/records.rs
+++ b/crates/pointvane-dispatch/src/records.rs
@@ -1,4 +1,4 @@
-//! What upstreams report and how attempts went, as it is recorded in the pool: of each upstream, and of its service together.
+//! Recording of load reports and attempt results in the pool, per upstream and per service.
 
 use {
     crate::{
@@ -7,7 +7,7 @@
     pointvane_core::{Name, UpstreamLoad},
 };
 
-/// Unit of reported slowdowns.
+/// Divisor that converts reported slowdowns from percent to factors.
 const PERCENT: f32 = 100.0;
 
 impl Pool {
@@ -22,15 +22,16 @@
         }
     }
 
-    /// Records what an upstream says of its warm-up, in milliseconds that are left.
+    /// Records the remaining warm-up time that an upstream reports, in milliseconds.
     pub fn record_warm_up(&mut self, key: UpstreamKey, left_ms: u64, now_us: u64) {
         if let Some(state) = self.upstreams.get_mut(&key) {
             state.set_warm_up(left_ms, now_us);
         }
     }
 
-    /// Records the time that a healthy answer to a probe took, at an upstream that reports no load: whoever is slowed by its neighbours
-    /// answers late, and its slots stay taken by slow work for a while.
+    /// Records the response time of a successful probe, in milliseconds, of an upstream that reports no load.
+    /// An upstream that is slowed by noisy neighbours answers probes late, and its slots stay occupied by
+    /// slow requests for a while.
     pub fn record_probe_time(&mut self, key: UpstreamKey, time_ms: f64, now_us: u64) {
         let Some(state) = self.upstreams.get_mut(&key) else {
             return;
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Records an answer of an upstream that carried no load report.
+    /// Records an upstream's answer without a load report.
     pub fn record_no_load(&mut self, key: UpstreamKey) {
         let Some(state) = self.upstreams.get(&key) else {
             return;
@@ -51,13 +52,14 @@
         }
     }
 
-    /// Whether the upstreams of a service report their load, as far as is known: if not, probes are useless.
+    /// Whether the upstreams of a service report their load, true until shown otherwise. If they do not,
+    /// probes are useless.
     pub fn reports_load(&self, service: &Name) -> bool {
         self.services.get(service).is_none_or(ServiceState::reports)
     }
 
-    /// Records what a successful attempt says of an upstream and its service: its latency as a multiple of the route's baseline, and
-    /// what was known of the upstream when it was sent.
+    /// Records the latency of a successful attempt, as a multiple of the route's baseline, for the upstream
+    /// and, if its load report was current when the attempt was sent, for the load curve of its service.
     pub fn record_latency(&mut self, key: UpstreamKey, slowdown: f32, sent: &LoadWhenSent, now_us: u64) {
         let Some(state) = self.upstreams.get_mut(&key) else {
             return;
--- a/crates/pointvane-dispatch/src/replica.rs
+++ b/crates/pointvane-dispatch/src/replica.rs
@@ -1,17 +1,20 @@
-//! The replica: what a node knows of the platform, and how it and the other nodes keep it equal.
+//! A node's replica of the state that the platform publishes, and the protocol by which nodes keep their
+//! replicas in sync.
 //!
-//! Entries by key (upstreams, evacuations) and one configuration by its version, with the revision up to which they are whole. Two doors
-//! lead in: answers of the platform (`reader/answers.rs`: whole reads, watches) and of other nodes (`relay.rs`: the last changes;
-//! `state_query.rs`: everything, or what changed). Both give changes, which the shell applies alike; nothing behind that asks how an entry
-//! came. Views lead out: routes in force (`routes.rs`), upstreams (`pool.rs`), data centres that may get work (`evacuations.rs`).
+//! The state consists of keyed entries (upstreams, evacuations) and one versioned configuration, complete up
+//! to a revision. Updates come from two sources: answers of the platform (`reader/answers.rs`: full reads,
+//! watches) and messages of other nodes (`relay.rs`: the latest changes; `state_query.rs`: the full state or
+//! a delta). Both are converted to the same change type, which `pointvane-node` applies regardless of the
+//! source. The state is exposed as the route table (`routes.rs`), the upstream pool (`pool.rs`) and the set of
+//! evacuated data centres (`evacuations.rs`).
 //!
 //! | question | file |
 //! | --- | --- |
-//! | when the platform is read or another node is queried | `reader.rs` and its modules |
-//! | how far it is read | `read_mark.rs` |
-//! | what watchers send to all | `relay.rs`, over `fan_out.rs` |
-//! | what nodes answer each other | `state_query.rs`; configurations by what changed: `routing_log.rs` |
-//! | in which order nodes query each other | `query_order.rs` |
+//! | when a node reads the platform or queries another node | `reader.rs` and its modules |
+//! | up to which revision the platform has been read | `read_mark.rs` |
+//! | what watchers broadcast to all nodes | `relay.rs`, over `fan_out.rs` |
+//! | what nodes answer to queries | `state_query.rs`; configuration deltas: `routing_log.rs` |
+//! | in which order nodes query each other for a new state | `query_order.rs` |
 
 pub mod fan_out;
 pub mod query_order;
--- a/crates/pointvane-dispatch/src/replica/fan_out.rs
+++ b/crates/pointvane-dispatch/src/replica/fan_out.rs
@@ -1,9 +1,10 @@
-//! Broadcast by forwarding: how one node reaches all others though it sends to few.
+//! Tree broadcast: a node reaches all others through forwarders, with a bounded number of sends per node.
 //!
-//! Nodes are ordered by their hashes. The sender cuts the order into ranges of about equal size and sends to one node
-//! drawn from each, which forwards to its range in the same way. Nodes that know of different members cut differently,
-//! but a range contains whoever is in it, so only members that some nodes do not know can be missed. Nodes are drawn anew
-//! for each broadcast, so a forwarder that fails is seldom drawn twice. Tests: `tests/fan_out.rs`.
+//! Nodes are sorted by a hash. The sender divides the hash space into ranges of about equally many nodes and
+//! sends to one randomly selected node of each, which forwards to the rest of its range in the same way.
+//! Nodes with different membership views divide the space differently, but ranges are intervals of hashes, so
+//! only members that some forwarder does not know can be missed. Forwarders are selected anew for each
+//! broadcast, so a failed one rarely blocks the same nodes twice. Tests: `tests/fan_out.rs`.
 
 use {
     rand::{rngs::SmallRng, seq::IndexedRandom},
@@ -11,76 +12,81 @@
     std::{collections::HashMap, net::SocketAddr},
 };
 
-/// Nodes that one node sends to in a large fleet. Worked out, not measured: see docs/CAPACITY.md.
+/// Number of nodes that each node sends to when broadcasts are forwarded.
 pub const FAN_OUT: usize = 12;
-/// Other nodes up to which the first sender sends to all itself.
+/// Largest number of other nodes up to which the origin sends to all of them itself, without forwarders.
 ///
-/// Forwarding at every size was worse on grown Heatline: 0.757 and 0.751 in place of 0.766 and 0.760
-/// (docs/MEASUREMENTS.md, "The round on NEWS-24").
+/// Forwarding in fleets of every size gave worse dispatch results than sending directly in small ones.
 pub const DIRECT_MAX: usize = 150;
 
-/// How many nodes one node sends to in a fleet with so many others.
+/// The fan-out in a fleet with the given number of other nodes; [`DIRECT_MAX`] stands for sending to all of
+/// them directly.
 pub fn fan_out(others: usize) -> usize {
     if others <= DIRECT_MAX { DIRECT_MAX } else { FAN_OUT }
 }
 
-/// The position of a node in the order: those of one data centre are neighbours, so that few datagrams cross between
-/// data centres.
+/// The position of a node in the broadcast order, from the hashes of its data centre and its name.
+///
+/// Nodes of one data centre are adjacent, so that few datagrams cross between data centres.
 pub fn broadcast_position(data_centre: u64, name: u64) -> u64 {
-    /// Leading bits that tell data centres apart; the rest tells nodes apart.
-    const CENTRE_BITS: u32 = 16;
-    (data_centre >> (u64::BITS - CENTRE_BITS) << (u64::BITS - CENTRE_BITS)) | (name >> CENTRE_BITS)
+    /// Leading bits taken from the data centre's hash; the remaining bits come from the node's hash.
+    const DATA_CENTRE_BITS: u32 = 16;
+    (data_centre >> (u64::BITS - DATA_CENTRE_BITS) << (u64::BITS - DATA_CENTRE_BITS))
+        | (name >> DATA_CENTRE_BITS)
 }
 
-/// A range of the order.
+/// An inclusive range of positions in the broadcast order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The first hash in it.
+    /// The first position in the range.
     pub first: u64,
-    /// The last hash in it.
+    /// The last position in the range.
     pub last: u64,
 }
 
 impl Segment {
-    /// The whole order.
+    /// All positions.
     pub const ALL: Self = Self { first: 0, last: u64::MAX };
-    /// The range that takes the most bytes in a datagram.
+    /// The range with the longest encoding in a datagram.
     pub const LONGEST: Self = Self { first: u64::MAX, last: u64::MAX };
-    /// No range: the datagram is not forwarded.
+    /// The empty range: the datagram is not forwarded.
     pub const NONE: Self = Self { first: 1, last: 0 };
 
-    /// What is left on both sides of a position.
-    fn without(self, position: u64) -> Vec<Self> {
+    /// The non-empty ranges left and right of a position; the whole range if it does not contain the
+    /// position.
+    fn excluding(self, position: u64) -> Vec<Self> {
         if !(self.first..=self.last).contains(&position) {
             return vec![self];
         }
         let before = position.checked_sub(1).map(|last| Self { first: self.first, last });
-        let behind = position.checked_add(1).map(|first| Self { first, last: self.last });
-        before.into_iter().chain(behind).filter(|side| side.first <= side.last).collect()
+        let after = position.checked_add(1).map(|first| Self { first, last: self.last });
+        before.into_iter().chain(after).filter(|subrange| subrange.first <= subrange.last).collect()
     }
 }
 
-/// A node in the order.
+/// A node and its position in the broadcast order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderedNode<T> {
-    /// Its position.
+    /// The position, see [`broadcast_position`].
     pub hash: u64,
     /// The node.
     pub node: T,
 }
 
-/// A node that is sent to, and the range that it forwards to.
+/// A node to send to, and the range that it forwards to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Forwarder<T> {
     /// The node.
     pub node: T,
-    /// Its range; there may be no other node in it.
+    /// The range, which may contain no other node.
     pub segment: Segment,
 }
 
-/// The nodes to send to so that all of `nodes` in a segment are reached, by a sender at position `own`.
+/// Selects the nodes that a sender at position `own` sends to, so that all of `nodes` in `segment` are
+/// reached.
 ///
-/// No range contains the sender, so nothing comes back to it and ranges shrink with each step.
+/// The returned ranges exclude the sender, so datagrams never loop back to it and ranges shrink with each
+/// hop.
 pub fn forwarders<T: Copy>(
     segment: Segment,
     own: u64,
@@ -89,47 +95,47 @@
     rng: &mut SmallRng,
 ) -> Vec<Forwarder<T>> {
     nodes.sort_unstable_by_key(|node| node.hash);
-    let within = |side: &Segment| {
-        let first = nodes.partition_point(|node| node.hash < side.first);
-        let last = nodes.partition_point(|node| node.hash <= side.last);
+    let nodes_in = |subrange: &Segment| {
+        let first = nodes.partition_point(|node| node.hash < subrange.first);
+        let last = nodes.partition_point(|node| node.hash <= subrange.last);
         &nodes[first..last.max(first)]
     };
-    let sides = segment.without(own);
-    let total: usize = sides.iter().map(|side| within(side).len()).sum();
+    let subranges = segment.excluding(own);
+    let total: usize = subranges.iter().map(|subrange| nodes_in(subrange).len()).sum();
     if fan_out == DIRECT_MAX {
-        let direct = sides.iter().flat_map(within);
+        let direct = subranges.iter().flat_map(nodes_in);
         return direct.map(|other| Forwarder { node: other.node, segment: Segment::NONE }).collect();
     }
     let mut forwarders = Vec::new();
-    for (index, side) in sides.iter().enumerate() {
-        let nodes = within(side);
-        let room = fan_out - forwarders.len() - usize::from(index + 1 < sides.len());
-        let share = (fan_out * nodes.len()).div_ceil(total.max(1));
-        cut(*side, nodes, share.clamp(1, room.max(1)), rng, &mut forwarders);
+    for (index, subrange) in subranges.iter().enumerate() {
+        let nodes = nodes_in(subrange);
+        let remaining = fan_out - forwarders.len() - usize::from(index + 1 < subranges.len());
+        let proportional = (fan_out * nodes.len()).div_ceil(total.max(1));
+        split_range(*subrange, nodes, proportional.clamp(1, remaining.max(1)), rng, &mut forwarders);
     }
     forwarders
 }
 
-/// Cuts a side into ranges and draws a node from each.
-fn cut<T: Copy>(
-    side: Segment,
+/// Splits a subrange into at most `parts_max` parts and selects a random forwarder from each.
+fn split_range<T: Copy>(
+    subrange: Segment,
     nodes: &[OrderedNode<T>],
-    ranges_max: usize,
+    parts_max: usize,
     rng: &mut SmallRng,
     forwarders: &mut Vec<Forwarder<T>>,
 ) {
-    let parts = ranges_max.min(nodes.len());
+    let parts = parts_max.min(nodes.len());
     let part = |index: usize| &nodes[index * nodes.len() / parts..(index + 1) * nodes.len() / parts];
     for index in 0..parts {
-        // A range ends where the next begins, so that no node falls between two, whoever knows of it.
-        let first = if index == 0 { side.first } else { part(index)[0].hash };
-        let last = if index + 1 == parts { side.last } else { part(index + 1)[0].hash - 1 };
-        let drawn = part(index).choose(rng).map(|drawn| drawn.node);
-        forwarders.extend(drawn.map(|node| Forwarder { node, segment: Segment { first, last } }));
+        // Ranges are contiguous, so that a node unknown to this sender still falls into one of them.
+        let first = if index == 0 { subrange.first } else { part(index)[0].hash };
+        let last = if index + 1 == parts { subrange.last } else { part(index + 1)[0].hash - 1 };
+        let chosen = part(index).choose(rng).map(|chosen| chosen.node);
+        forwarders.extend(chosen.map(|node| Forwarder { node, segment: Segment { first, last } }));
     }
 }
 
-/// The latest broadcast received from each origin, so that an older one that comes late is ignored.
+/// The latest broadcast round received from each origin; duplicates and older rounds are ignored.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedRounds {
     by_origin: HashMap<SocketAddr, Received>,
@@ -138,20 +144,21 @@
 #[derive(Clone, Copy, Debug)]
 struct Received {
     round: u64,
-    at_us: u64,
+    received_at_us: u64,
 }
 
-/// Time without a broadcast after which an origin may begin anew, as after a restart under an earlier clock. Not measured.
-const FORGOTTEN_AFTER_US: u64 = 2_000_000;
+/// Time without a broadcast after which an origin's round is forgotten, in microseconds. An origin that
+/// restarts with a clock set back sends lower round numbers and is accepted again after this time.
+const ORIGIN_EXPIRY_US: u64 = 2_000_000;
 
 impl ReceivedRounds {
-    /// Whether a broadcast is newer than those received from its origin; takes note of it.
+    /// Whether a round is newer than those received from its origin; if so, records it.
     pub fn is_new(&mut self, origin: SocketAddr, round: u64, now_us: u64) -> bool {
-        self.by_origin.retain(|_, last| now_us.saturating_sub(last.at_us) < FORGOTTEN_AFTER_US);
-        let new = self.by_origin.get(&origin).is_none_or(|last| round > last.round);
-        if new {
-            self.by_origin.insert(origin, Received { round, at_us: now_us });
+        self.by_origin.retain(|_, last| now_us.saturating_sub(last.received_at_us) < ORIGIN_EXPIRY_US);
+        let is_new = self.by_origin.get(&origin).is_none_or(|last| round > last.round);
+        if is_new {
+            self.by_origin.insert(origin, Received { round, received_at_us: now_us });
         }
-        new
+        is_new
     }
 }
--- a/crates/pointvane-dispatch/src/replica/relay.rs
+++ b/crates/pointvane-dispatch/src/replica/relay.rs
@@ -1,4 +1,5 @@
-//! Relays: what watchers send to all other nodes of the platform's changes, and the log that relays are made of.
+//! Relays: the platform's latest changes as watchers broadcast them to all other nodes, and the log that
+//! relays are built from.
 
 use {
     crate::replica::{fan_out::Segment, read_mark::ReadMark},
@@ -11,33 +12,35 @@
     },
 };
 
-/// Changes that one relay contains at most, so that it fits a datagram; one that does not fit is sent without
-/// changes.
-const RELAYED_MAX: usize = 20;
-/// Changes that a log keeps at most. Bounds memory to some 200 KB; a node that lacks more queries for a whole state.
-const KEPT_MAX: usize = 1_024;
+/// Maximum number of changes in one relay, so that it fits into a datagram. A relay that still does not fit
+/// is sent without changes.
+const RELAY_CHANGES_MAX: usize = 20;
+/// Maximum number of changes, and of batches, in a log; limits its memory to about 200 KB. A node that lacks
+/// more than these queries for the whole state.
+const LOGGED_CHANGES_MAX: usize = 1_024;
 
-/// What a watcher sends to all others: how far the platform is read, how long ago it answered, and the last changes.
+/// A watcher's broadcast: up to where it has read the platform, how long ago the platform answered, and the
+/// latest changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Relay {
-    /// The revision that the changes follow on; a node that knows this one or a later one can apply them.
+    /// The revision after which the changes begin; a node at this revision or a later one can apply them.
     pub since: u64,
-    /// How far the watcher has read. A node that has an older configuration has to query for the newer one.
+    /// The watcher's read mark. A node with an older configuration has to query for the newer one.
     pub mark: ReadMark,
     /// Age of the platform's last answer to the watcher, in milliseconds.
     pub age_ms: u64,
-    /// The changes of entries, oldest first.
+    /// Changes to entries, oldest first.
     pub changes: Vec<Change>,
 }
 
 impl Relay {
-    /// The same without the changes: a node that lacks them has to query for them.
+    /// Strips the changes: a node that lacks them has to query for them.
     pub fn without_changes(self) -> Self {
         Self { since: self.mark.revision, changes: Vec::new(), ..self }
     }
 }
 
-/// A relay as it goes over the wire.
+/// The wire format of a relay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WireRelay {
     since: u64,
@@ -47,38 +50,38 @@
 }
 
 impl WireRelay {
-    /// How far the watcher has read.
+    /// The watcher's read mark.
     pub fn mark(&self) -> ReadMark {
         self.mark
     }
 }
 
-/// A relay on its way through the fleet.
+/// The datagram that carries a relay from node to node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RelayDatagram {
-    /// Where the watcher answers queries.
+    /// The address on which the watcher answers queries.
     pub origin: SocketAddr,
-    /// Number of the relay; later relays of the same origin have higher ones.
+    /// Sequence number of the relay, increasing for each origin.
     pub round: u64,
-    /// The range of nodes that the receiver forwards it to.
+    /// The range of nodes to which the receiver forwards the datagram.
     pub segment: Segment,
     /// The relay.
     pub relay: WireRelay,
 }
 
-/// A change of an entry as it goes over the wire.
+/// The wire format of a change to an entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum WireChange {
-    /// An upstream appeared or changed.
+    /// An upstream was added or updated.
     Upstream(UpstreamRecord),
-    /// An upstream's entry is gone.
+    /// An upstream's entry was removed.
     Gone(Name),
-    /// A data centre is to be empty, or no longer.
+    /// The evacuation of a data centre began or ended.
     Evacuation(Evacuation),
 }
 
 impl WireChange {
-    /// The change, unless it is a configuration: these are queried for.
+    /// Converts a change; none for configurations, which nodes query for.
     pub fn new(change: Change) -> Option<Self> {
         match change {
             Change::Upstream(record) => Some(Self::Upstream(record)),
@@ -113,65 +116,68 @@
     }
 }
 
-/// Which nodes a batch of changes is of use to.
+/// Which revisions a batch of changes can be applied to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangesHold {
-    /// All that happened since the revision before: to any node that knows that one or a later one.
+    /// All changes since the batch's first revision: it applies to that revision and to later ones.
     All,
-    /// What two states differ by: to a node that knows the first of them. An entry that came and went between them stands in neither, so
-    /// a node that was told of it meanwhile would keep it.
+    /// The difference between two states: it applies to the first state's revision alone. An entry that was
+    /// added and removed between the two is in neither, so a node that learned of it at a revision in between
+    /// would never remove it.
     Difference,
 }
 
-/// Changes that became known together.
+/// Changes that were received together.
 #[derive(Clone, Debug)]
 struct Batch {
     since: u64,
-    hold: ChangesHold,
+    coverage: ChangesHold,
     changes: Vec<Change>,
 }
 
 impl Batch {
-    /// Whether the changes lead on from a revision.
-    fn leads_from(&self, revision: u64) -> bool {
-        match self.hold {
+    /// Whether a node at a revision can apply the batch.
+    fn applies_to(&self, revision: u64) -> bool {
+        match self.coverage {
             ChangesHold::All => self.since <= revision,
             ChangesHold::Difference => self.since == revision,
         }
     }
 }
 
-/// The last changes of entries that a node has seen, for nodes that missed them: of each entry the last one only.
+/// The latest changes that a node has received, for nodes that missed them. Only the last change of each
+/// entry is kept.
 ///
-/// A node may apply changes that it has applied before, since none of them undoes another.
+/// Because of that, a node may safely apply changes again that it has already applied: none of them reverts
+/// another.
 #[derive(Clone, Debug, Default)]
 pub struct RelayLog {
     batches: VecDeque<Batch>,
-    /// The revision up to which changes are known.
+    /// The revision up to which changes are logged.
     revision: u64,
 }
 
 impl RelayLog {
-    /// Forgets everything before a revision.
+    /// Clears the log and continues it at a revision.
     pub fn restart(&mut self, revision: u64) {
         self.batches.clear();
         self.revision = revision;
     }
 
-    /// Adds the changes that lead to a revision.
-    pub fn add(&mut self, revision: u64, changes: &[Change], hold: ChangesHold) {
+    /// Appends the changes from the last logged revision to `revision`.
+    pub fn add(&mut self, revision: u64, changes: &[Change], coverage: ChangesHold) {
         let since = mem::replace(&mut self.revision, revision);
         let entries = changes.iter().filter(|change| change.entry().is_some());
-        self.batches.push_back(Batch { since, hold, changes: entries.cloned().collect() });
-        self.drop_overtaken();
+        self.batches.push_back(Batch { since, coverage, changes: entries.cloned().collect() });
+        self.drop_superseded();
         let mut kept: usize = self.batches.iter().map(|batch| batch.changes.len()).sum();
-        while kept > KEPT_MAX || self.batches.len() > KEPT_MAX {
+        while kept > LOGGED_CHANGES_MAX || self.batches.len() > LOGGED_CHANGES_MAX {
             kept -= self.batches.pop_front().map_or(0, |batch| batch.changes.len());
         }
     }
 
-    /// Drops changes that a later one of the same entry has overtaken.
-    fn drop_overtaken(&mut self) {
+    /// Drops changes that are superseded by a later change of the same entry.
+    fn drop_superseded(&mut self) {
         let mut seen: HashSet<EntryKey> = HashSet::new();
         for batch in self.batches.iter_mut().rev() {
             let kept = mem::take(&mut batch.changes).into_iter().rev();
@@ -182,33 +188,35 @@
         }
     }
 
-    /// Whether the changes that follow on a revision are known.
+    /// Whether the log contains all changes after a revision.
     pub fn reaches(&self, revision: u64) -> bool {
-        revision == self.revision || self.first_after(revision).is_some()
+        revision == self.revision || self.first_batch_after(revision).is_some()
     }
 
-    /// The batch that leads on from a revision.
-    fn first_after(&self, revision: u64) -> Option<usize> {
+    /// The index of the first batch that a node at a revision has to apply.
+    fn first_batch_after(&self, revision: u64) -> Option<usize> {
         let first = self.batches.iter().rposition(|batch| batch.since <= revision)?;
-        self.batches[first].leads_from(revision).then_some(first)
+        self.batches[first].applies_to(revision).then_some(first)
     }
 
-    /// The changes that follow on a revision, oldest first; none when the log does not reach back so far, or that lies between two states
-    /// of which the difference alone is known.
+    /// The changes after a revision, oldest first; none if the log does not reach back to it, or if it lies
+    /// between two states of which only the difference is known.
     pub fn changes_since(&self, revision: u64) -> Option<Vec<Change>> {
         if revision == self.revision {
             return Some(Vec::new());
         }
-        let first = self.first_after(revision)?;
+        let first = self.first_batch_after(revision)?;
         Some(self.batches.iter().skip(first).flat_map(|batch| batch.changes.iter().cloned()).collect())
     }
 
-    /// A relay with as many of the last changes as it may contain: all that happened since some revision, so no difference of two states.
+    /// Builds a relay with as many of the latest changes as it may contain. Receivers may be at any revision
+    /// from `since` on, so differences between two states are left out. `age_ms` is the age of the platform's
+    /// last answer, in milliseconds.
     pub fn relay(&self, mark: ReadMark, age_ms: u64) -> Relay {
-        let mut room = RELAYED_MAX;
+        let mut remaining = RELAY_CHANGES_MAX;
         let fits = |batch: &&Batch| {
-            let fits = batch.hold == ChangesHold::All && batch.changes.len() <= room;
-            room = room.saturating_sub(batch.changes.len());
+            let fits = batch.coverage == ChangesHold::All && batch.changes.len() <= remaining;
+            remaining = remaining.saturating_sub(batch.changes.len());
             fits
         };
         let relayed: Vec<&Batch> = self.batches.iter().rev().take_while(fits).collect();
--- a/crates/pointvane-dispatch/src/replica/routing_log.rs
+++ b/crates/pointvane-dispatch/src/replica/routing_log.rs
@@ -1,30 +1,29 @@
-//! The last changes of the configuration, for nodes that have an earlier one.
+//! The latest configuration deltas, for nodes that have an earlier version.
 //!
-//! Inputs: each configuration that comes in force, whole or as a delta. A node that has none of the versions logged, or one
-//! from before the log, gets the whole configuration. Tests: `tests/routing_log.rs`.
+//! Inputs: each configuration that takes effect, whole or as deltas. A node whose version is not in the log
+//! gets the whole configuration. Tests: `tests/routing_log.rs`.
 
 use {
     pointvane_core::{RoutingConfiguration, RoutingDelta},
     std::collections::VecDeque,
 };
 
-/// Routes that the deltas of a log touch at most. Worked out, not measured: with what a route takes it bounds memory to a
-/// megabyte.
+/// Maximum number of changed routes in the logged deltas; limits memory to about one megabyte.
 const LOGGED_ROUTES_MAX: usize = 4_096;
-/// Deltas of a log at most. Not measured: a minute of four changes a second.
+/// Maximum number of logged deltas: about one minute at four changes per second.
 const LOGGED_DELTAS_MAX: usize = 256;
 
-/// The last deltas; each leads from the version that the one before it led to.
+/// The latest deltas; each starts at the version where the previous one ends.
 #[derive(Debug, Default)]
 pub struct RoutingLog {
     deltas: VecDeque<RoutingDelta>,
-    touched: usize,
+    changed_routes: usize,
 }
 
 impl RoutingLog {
-    /// Adds what changed when a configuration was replaced by another.
+    /// Appends the delta between a configuration and the one that replaced it.
     pub fn replaced(&mut self, from: &RoutingConfiguration, to: &RoutingConfiguration) {
-        // From no configuration at all everything changes: there is nothing to be saved.
+        // The delta from an empty configuration (version 0) would be as large as the configuration itself.
         let delta = if from.version == 0 { None } else { RoutingDelta::between(from, to) };
         match delta {
             Some(delta) => self.add(delta),
@@ -32,16 +31,16 @@
         }
     }
 
-    /// Adds a delta that was applied.
+    /// Appends a delta that was applied. A gap between versions clears the log first.
     pub fn add(&mut self, delta: RoutingDelta) {
         if self.deltas.back().is_some_and(|last| last.to_version != delta.from_version) {
             self.clear();
         }
-        self.touched += delta.touched();
+        self.changed_routes += delta.touched();
         self.deltas.push_back(delta);
-        while self.touched > LOGGED_ROUTES_MAX || self.deltas.len() > LOGGED_DELTAS_MAX {
-            let dropped = self.deltas.pop_front();
-            self.touched -= dropped.map_or(0, |delta| delta.touched());
+        while self.changed_routes > LOGGED_ROUTES_MAX || self.deltas.len() > LOGGED_DELTAS_MAX {
+            let oldest = self.deltas.pop_front();
+            self.changed_routes -= oldest.map_or(0, |delta| delta.touched());
         }
     }
 
@@ -49,7 +48,7 @@
         *self = Self::default();
     }
 
-    /// The deltas that lead from a version to the one in force; none if the log does not hold them.
+    /// The deltas from a version to the one in force; none if no logged delta starts at that version.
     pub fn since(&self, version: u64) -> Option<Vec<RoutingDelta>> {
         let first = self.deltas.iter().position(|delta| delta.from_version == version)?;
         Some(self.deltas.iter().skip(first).cloned().collect())
--- a/crates/pointvane-dispatch/src/replica/state_query.rs
+++ b/crates/pointvane-dispatch/src/replica/state_query.rs
@@ -1,4 +1,4 @@
-//! Queries between nodes for what a relay has no room for: the messages, and how an answer is applied.
+//! Queries between nodes for state that does not fit into a relay: message types, and how a reply is applied.
 
 use {
     crate::replica::{read_mark::ReadMark, relay::WireChange},
@@ -7,38 +7,40 @@
     std::collections::HashSet,
 };
 
-/// What a node knows of the platform, beside the last changes.
+/// Access to the platform state that a node holds, beyond the latest changes.
 pub trait KnownState {
-    /// All entries but those in their grace period, as the changes by which they became known.
+    /// All entries except those in their grace period, as the changes that add them.
     fn entries(&self) -> Vec<Change>;
     /// The configuration in force.
     fn configuration(&self) -> RoutingConfiguration;
-    /// What changed from a version to the configuration in force; none if that is not known.
+    /// The deltas from a version to the configuration in force; none if they are not known.
     fn configuration_since(&self, version: u64) -> Option<Vec<RoutingDelta>>;
 }
 
-/// How an answer brings the configuration in force.
+/// The configuration in force as a reply carries it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationUpdate {
-    /// Whole.
+    /// The whole configuration.
     Whole(Box<RoutingConfiguration>),
-    /// By what changed since the one that the querying node has.
+    /// Deltas from the version that the querying node has.
     Deltas(Vec<RoutingDelta>),
 }
 
 impl ConfigurationUpdate {
-    /// The update for a node that has a version: what changed, unless that is more than everything.
+    /// The update for a node that has version `known`: deltas, unless they are larger than the whole
+    /// configuration.
     pub fn new(known: u64, known_here: &impl KnownState) -> Self {
         let whole = known_here.configuration();
-        let smaller = |deltas: &Vec<RoutingDelta>| routes_of(deltas) <= whole.routes.len();
+        let smaller = |deltas: &Vec<RoutingDelta>| size_in_routes(deltas) <= whole.routes.len();
         match known_here.configuration_since(known).filter(smaller) {
             Some(deltas) => Self::Deltas(deltas),
             None => Self::Whole(Box::new(whole)),
         }
     }
 
-    /// The version that a node with version `known` has after it; none if it cannot be applied there.
-    fn leads_to(&self, known: u64) -> Option<u64> {
+    /// The version of a node after it has applied the update to version `known`; none if the update does not
+    /// apply to that version.
+    fn resulting_version(&self, known: u64) -> Option<u64> {
         match self {
             Self::Whole(configuration) => Some(configuration.version),
             Self::Deltas(deltas) => deltas.iter().try_fold(known, |version, delta| {
@@ -55,79 +57,86 @@
     }
 }
 
-/// The changes by which the entries are gone that were known and are not listed, as of a revision.
-fn missing(known: impl Iterator<Item = Change>, listed: &[Change], revision: u64) -> Vec<Change> {
+/// The removals, at `revision`, of known entries that are not in `listed`.
+fn removals_of_unlisted(
+    known: impl Iterator<Item = Change>,
+    listed: &[Change],
+    revision: u64,
+) -> Vec<Change> {
     let listed: HashSet<EntryKey> = listed.iter().filter_map(Change::entry).collect();
-    let is_missing = |known: &Change| known.entry().is_some_and(|entry| !listed.contains(&entry));
-    known.filter(is_missing).filter_map(|known| known.removal(revision)).collect()
+    let is_unlisted = |known: &Change| known.entry().is_some_and(|entry| !listed.contains(&entry));
+    known.filter(is_unlisted).filter_map(|known| known.removal(revision)).collect()
 }
 
-/// About how many routes deltas take the room of: what a delta holds beside routes is as long as one.
-fn routes_of(deltas: &[RoutingDelta]) -> usize {
+/// Approximate size of deltas, as a number of routes: the rest of a delta is about as large as one route.
+fn size_in_routes(deltas: &[RoutingDelta]) -> usize {
     deltas.iter().map(|delta| delta.touched() + 1).sum()
 }
 
-/// Longest answer that a node sends, in bytes as it is sent: what a link of 10 Mbit/s carries in 1.2 s. Whoever needs more reads the platform.
+/// Maximum size of an encoded reply, in bytes: what a 10 Mbit/s link transfers in 1.2 s. A node that needs
+/// more reads the platform.
 const ANSWER_BYTES_MAX: usize = 1_500_000;
 
-/// Whether an answer of so many bytes is sent.
+/// Whether an encoded reply of `bytes` bytes is small enough to be sent.
 pub fn is_answer_sent(bytes: usize) -> bool {
     bytes <= ANSWER_BYTES_MAX
 }
 
-/// Whole states that a node sends at once at most: those of 6,000 upstreams fill a link of 20 Mbit/s for half a second. Whoever is turned away queries
-/// another node, which may have it by then.
-const WHOLE_STATES_AT_ONCE: usize = 8;
+/// Maximum number of whole states that a node sends concurrently: with 6,000 upstreams these occupy a 20
+/// Mbit/s link for half a second. A node that is refused queries another one, which may have the state by
+/// then.
+const CONCURRENT_WHOLE_STATES_MAX: usize = 8;
 
-/// The whole states that a node sends now, so that those who start do not fill the link of one node.
+/// Limits the whole states that a node sends concurrently, so that starting nodes do not saturate one node's
+/// link.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WholeStateLimit {
-    under_way: usize,
+    in_progress: usize,
 }
 
 impl WholeStateLimit {
-    /// Counts another one, unless there are as many as may be.
+    /// Reserves a slot for one transfer; false if all slots are in use.
     pub fn begin(&mut self) -> bool {
-        let may = self.under_way < WHOLE_STATES_AT_ONCE;
-        self.under_way += usize::from(may);
-        may
+        let allowed = self.in_progress < CONCURRENT_WHOLE_STATES_MAX;
+        self.in_progress += usize::from(allowed);
+        allowed
     }
 
-    /// Takes note that one was sent, or broke off.
+    /// Releases the slot of a transfer that completed or failed.
     pub fn end(&mut self) {
-        self.under_way -= 1;
+        self.in_progress -= 1;
     }
 }
 
-/// A query for what a node does not know yet.
+/// A query for the state that a node lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateRequest {
-    /// What the querying node knows.
+    /// The querying node's read mark.
     pub known: ReadMark,
 }
 
-/// What a node answers to a query first.
+/// The first message of the answer to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StateOffer {
-    /// It knows no more, or has no time.
+    /// The queried node knows nothing newer, or has no capacity to answer.
     Nothing,
-    /// It knows nothing yet, and is reading the platform.
+    /// The queried node has no state yet and is reading the platform.
     Reading,
-    /// A state follows, by an answer of the platform of that age.
+    /// A [`StateReply`] follows.
     State {
-        /// The age, in milliseconds.
+        /// Age of the platform's answer that the state is based on, in milliseconds.
         age_ms: u64,
     },
 }
 
-/// The answer of a node that knows more, by a current answer of the platform.
+/// The state that the querying node lacks, from a node whose last answer of the platform is current.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StateReply {
-    /// What is known after it is applied.
+    /// The read mark after the reply is applied.
     pub mark: ReadMark,
-    /// Age of the platform's answer behind it, in milliseconds.
+    /// Age of the platform's answer that the reply is based on, in milliseconds.
     pub age_ms: u64,
-    /// Whether the changes list all entries, and not only those that changed.
+    /// Whether the changes list all entries rather than only those that changed.
     pub whole: bool,
     changes: Vec<WireChange>,
     /// The configuration, if the querying node has an older one.
@@ -135,7 +144,7 @@
 }
 
 impl StateReply {
-    /// An answer that leads to `mark` by the given changes of entries.
+    /// A reply that brings the querying node to `mark` with the given changes to entries.
     pub fn new(
         mark: ReadMark,
         age_ms: u64,
@@ -152,23 +161,27 @@
         }
     }
 
-    /// The same by an answer of the platform of another age.
+    /// Replaces the age of the platform's answer, in milliseconds.
     pub fn with_age(self, age_ms: u64) -> Self {
         Self { age_ms, ..self }
     }
 
-    /// Whether a node that knows `known` knows everything up to the reply's mark by it.
+    /// Whether applying the reply brings a node at mark `known` to the reply's mark.
     pub fn leads_from(&self, known: ReadMark) -> bool {
-        let brought = self.configuration.as_ref().and_then(|update| update.leads_to(known.version));
-        let configured = known.version >= self.mark.version || brought == Some(self.mark.version);
-        configured && self.mark.revision >= known.revision
+        let updated_version =
+            self.configuration.as_ref().and_then(|update| update.resulting_version(known.version));
+        let configuration_complete =
+            known.version >= self.mark.version || updated_version == Some(self.mark.version);
+        configuration_complete && self.mark.revision >= known.revision
     }
 
-    /// What is to be applied; `known` are the entries that the querying node knows.
+    /// The changes to apply, including removals if the reply is whole; `known` are the entries that the
+    /// querying node holds.
     pub fn into_changes(self, known: impl Iterator<Item = Change>) -> Vec<Change> {
         let entries: Vec<Change> = self.changes.into_iter().map(Change::from).collect();
-        let gone = if self.whole { missing(known, &entries, self.mark.revision) } else { Vec::new() };
+        let removals =
+            if self.whole { removals_of_unlisted(known, &entries, self.mark.revision) } else { Vec::new() };
         let configuration = self.configuration.map(ConfigurationUpdate::into_change);
-        configuration.into_iter().chain(entries).chain(gone).collect()
+        configuration.into_iter().chain(entries).chain(removals).collect()
     }
 }
--- a/crates/pointvane-dispatch/src/routes.rs
+++ b/crates/pointvane-dispatch/src/routes.rs
@@ -1,7 +1,9 @@
-//! Routing: from a request's host and path to its route, and to one of the route's services, drawn by weight.
+//! Routing: maps a request's host and path to a route, and selects one of the route's services at random by
+//! weight.
 //!
-//! Inputs: the configuration in force, host and path of the request. The longest path prefix of the host wins. Requests of a route that names
-//! no service belong to a service without upstreams. Tests: `the_longest_prefix_of_the_host_wins`, `a_split_gives_each_service_its_weight`.
+//! Inputs: the configuration in force, and the host and path of the request. The longest matching path prefix
+//! of the host wins. Requests of a route without services are assigned to a service that has no upstreams.
+//! Tests: `the_longest_prefix_of_the_host_wins`, `a_split_gives_each_service_its_weight`.
 
 use {
     crate::access::{AccountTable, account_of},
@@ -13,36 +15,36 @@
     std::{collections::HashMap, sync::Arc},
 };
 
-/// The service of requests that no service can serve; no upstream is of it.
+/// Service name for requests of routes without services; no upstream belongs to it.
 const NO_SERVICE: &str = "";
 
-/// The configuration in force, ready for look-ups.
+/// The configuration in force, indexed for look-ups.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     version: u64,
     limits: CallerLimits,
-    /// Routes of a host, those with longer prefixes first.
+    /// The routes of each host, longest path prefix first.
     by_host: HashMap<Name, Vec<Arc<RouteRule>>>,
     services: HashMap<Name, ServiceRule>,
-    /// None where callers need no key.
+    /// None if callers need no key.
     accounts: Option<AccountTable>,
 }
 
-/// Where one request goes.
+/// A request's route, service and client account.
 #[derive(Clone, Debug)]
 pub struct RoutedRequest {
     /// The route.
     pub route: Arc<RouteRule>,
-    /// The service that this request goes to.
+    /// The service that was selected for this request.
     pub service: Name,
-    /// The version of the configuration that said so.
+    /// The version of the configuration by which it was routed.
     pub version: u64,
-    /// The client account that it counts for, if any.
+    /// The client account that the request is charged to, if any.
     pub account: Option<Arc<AccountRule>>,
 }
 
 impl RoutedRequest {
-    /// The same request of an account, whose priority goes before the route's.
+    /// Sets the client account, whose priority, if it has one, overrides the route's.
     pub fn of_account(self, account: Option<Arc<AccountRule>>) -> Self {
         let priority = account.as_ref().and_then(|account| account.priority);
         let route = match priority.filter(|priority| *priority != self.route.priority) {
@@ -54,7 +56,7 @@
 }
 
 impl RouteTable {
-    /// A table of one configuration.
+    /// Builds the table of a configuration.
     pub fn new(configuration: RoutingConfiguration) -> Self {
         let mut by_host: HashMap<Name, Vec<Arc<RouteRule>>> = HashMap::new();
         for route in configuration.routes {
@@ -73,12 +75,12 @@
         }
     }
 
-    /// The configuration's version; 0 while there is none.
+    /// The version of the configuration; 0 while there is none.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The configuration that the table was made from.
+    /// The configuration that the table was built from; the order of routes and services may differ.
     pub fn configuration(&self) -> RoutingConfiguration {
         RoutingConfiguration {
             version: self.version,
@@ -89,20 +91,20 @@
         }
     }
 
-    /// Whether callers present keys.
+    /// Whether client accounts, and with them keys of callers, are configured.
     pub fn has_accounts(&self) -> bool {
         self.accounts.is_some()
     }
 
-    /// The quota of an account; none if it has none, or is not known.
+    /// The quota of an account; none if the account has no quota or does not exist.
     pub fn quota(&self, account: &Name) -> Option<Quota> {
         self.accounts.as_ref()?.get(account)?.quota
     }
 
-    /// The client account that a request of a route counts for, if any.
+    /// The client account that a request of `route` is charged to, if any.
     ///
     /// # Errors
-    /// [`ErrorKind::Unauthorized`] if the route needs a key and the one presented is not known.
+    /// [`ErrorKind::Unauthorized`] if the route requires a key and the one presented is missing or unknown.
     pub fn account_of(
         &self,
         route: &RouteRule,
@@ -111,23 +113,23 @@
         account_of(self.accounts.as_ref(), route, key)
     }
 
-    /// Limits for callers.
+    /// The limits for callers' requests.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Path on which a service's upstreams report their health and load.
+    /// The path on which a service's upstreams report their health and load.
     pub fn health_path(&self, service: &Name) -> Option<&Name> {
         self.services.get(service).map(|service| &service.health_path)
     }
 
-    /// Requests a second that a cold upstream bears, of the services that limit them.
+    /// Maximum request rate of a cold upstream, in requests per second, for each service that limits it.
     pub fn cold_rates_per_s(&self) -> HashMap<Name, f64> {
         let limited = self.services.values().filter(|service| service.cold_requests_per_1000_s > 0);
         limited.map(|service| (service.name.clone(), service.cold_requests_per_1000_s as f64 / 1e3)).collect()
     }
 
-    /// The route of a request; `host` may carry a port.
+    /// The route of a request; `host` is matched in any letter case and may include a port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteRule>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.by_host.get(host) {
@@ -137,27 +139,28 @@
         routes.iter().find(|route| path.starts_with(route.path_prefix.as_str()))
     }
 
-    /// The route of a request and the service it goes to, drawn by weight.
+    /// The route of a request and a service of it, selected at random by weight.
     pub fn route(&self, host: &str, path: &str, rng: &mut SmallRng) -> Option<RoutedRequest> {
         let route = self.find(host, path)?;
-        let service = draw(route, rng).unwrap_or_else(|| Name::from(NO_SERVICE));
+        let service = choose_service(route, rng).unwrap_or_else(|| Name::from(NO_SERVICE));
         Some(RoutedRequest { route: Arc::clone(route), service, version: self.version, account: None })
     }
 }
 
-/// One of a route's services, by weight.
-fn draw(route: &RouteRule, rng: &mut SmallRng) -> Option<Name> {
+/// Selects one of a route's services at random by weight; the first one if all weights are 0, and none if
+/// there are no services.
+fn choose_service(route: &RouteRule, rng: &mut SmallRng) -> Option<Name> {
     let total: u64 = route.backends.iter().map(|backend| u64::from(backend.weight)).sum();
     if total == 0 {
         return route.backends.first().map(|backend| backend.service.clone());
     }
-    let mut drawn = rng.random_range(0..total);
+    let mut offset = rng.random_range(0..total);
     for backend in &route.backends {
         let weight = u64::from(backend.weight);
-        if drawn < weight {
+        if offset < weight {
             return Some(backend.service.clone());
         }
-        drawn -= weight;
+        offset -= weight;
     }
     None
 }
