--- a/crates/pointvane-dispatch/tests/common/mod.rs
+++ b/crates/pointvane-dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Routes, changes and pages as the platform publishes them.
+//! Builders for routes, changes and pages as the platform publishes them.
 #![allow(dead_code)]
 
 use pointvane_core::{Change, ChangePage, RouteKind, RouteRule, RoutingConfiguration, UpstreamRecord};
--- a/crates/pointvane-dispatch/tests/evacuations.rs
+++ b/crates/pointvane-dispatch/tests/evacuations.rs
@@ -1,4 +1,5 @@
-//! A data centre that operators are emptying gets no new work, however a node heard of it, until they take that back.
+//! Tests of evacuations: an evacuated data centre gets no new requests until operators end the evacuation,
+//! whichever way a node learned of it.
 
 mod common;
 
@@ -17,7 +18,7 @@
 const MS: u64 = 1_000;
 const PROBES: SearchOptions = SearchOptions { probes: true, first_round: 2, second_round: 4 };
 
-fn evacuated(data_centre: &str, active: bool, revision: u64) -> Change {
+fn evacuation_change(data_centre: &str, active: bool, revision: u64) -> Change {
     Change::Evacuation(Evacuation { data_centre: data_centre.into(), active, revision })
 }
 
@@ -27,23 +28,23 @@
     Change::Upstream(UpstreamRecord { data_centre: data_centre.into(), address, ..record(id, 1) })
 }
 
-/// A node: its reader, and what it knows.
+/// A simulated node: its platform reader and its upstream pool.
 struct Node {
     reader: PlatformReader,
     pool: Pool,
 }
 
 impl Node {
-    /// A node that knows nothing.
+    /// A node without platform state.
     fn new() -> Self {
         let pool = Pool::new(RankingOptions::default(), "one".into(), 1);
         Self { reader: PlatformReader::new(ReaderOptions::default(), 1), pool }
     }
 
     /// A node that has read upstreams of two data centres at revision 5.
-    fn informed() -> Self {
+    fn with_upstreams() -> Self {
         let mut node = Self::new();
-        node.reads(page(5, vec![upstream("a", "one"), upstream("b", "one"), upstream("c", "two")]), MS);
+        node.read_page(page(5, vec![upstream("a", "one"), upstream("b", "one"), upstream("c", "two")]), MS);
         node
     }
 
@@ -58,34 +59,34 @@
         }
     }
 
-    fn reads(&mut self, page: pointvane_core::ChangePage, now_us: u64) {
+    fn read_page(&mut self, page: pointvane_core::ChangePage, now_us: u64) {
         let changes = self.reader.page_read(page, self.pool.listed(), now_us);
         self.apply(changes, now_us);
     }
 
-    fn watches(&mut self, revision: u64, changes: Vec<Change>, now_us: u64) {
+    fn receive_watch_answer(&mut self, revision: u64, changes: Vec<Change>, now_us: u64) {
         self.reader.next(now_us);
         let changes = self.reader.watch_answered(page(revision, changes), now_us);
         self.apply(changes, now_us);
     }
 
-    fn hears(&mut self, relay: Relay, now_us: u64) {
+    fn receive_relay(&mut self, relay: Relay, now_us: u64) {
         let changes = self.reader.receive_relay(relay, 0.0, now_us);
         self.apply(changes, now_us);
     }
 
-    fn queries(&mut self, peer: &Self, now_us: u64) {
+    fn query_peer(&mut self, peer: &Self, now_us: u64) {
         let request = StateRequest { known: self.reader.mark() };
-        let reply = peer.reader.answer(&request, &peer.pool_state(), now_us).unwrap();
+        let reply = peer.reader.answer(&request, &peer.known_state(), now_us).unwrap();
         let changes = self.reader.receive_state(reply, self.pool.known(), now_us);
         self.apply(changes, now_us);
     }
 
-    fn pool_state(&self) -> Held {
-        Held(self.pool.listed().collect())
+    fn known_state(&self) -> FixedState {
+        FixedState(self.pool.listed().collect())
     }
 
-    /// The data centres whose upstreams are candidates.
+    /// The ids of the upstreams that are candidates, sorted.
     fn candidates(&mut self, now_us: u64) -> Vec<String> {
         let wanted =
             Wanted { priority: 0, tried: &[], body_bytes: 0, count: 9, regions: &AllowedRegions::ANY };
@@ -107,9 +108,9 @@
     }
 }
 
-struct Held(Vec<Change>);
+struct FixedState(Vec<Change>);
 
-impl KnownState for Held {
+impl KnownState for FixedState {
     fn entries(&self) -> Vec<Change> {
         self.0.clone()
     }
@@ -128,88 +129,102 @@
 }
 
 #[gtest]
-fn an_evacuated_data_centre_has_no_candidates_until_that_is_taken_back() {
-    let mut node = Node::informed();
+fn an_evacuated_data_centre_has_no_candidates_until_the_evacuation_ends() {
+    let mut node = Node::with_upstreams();
     expect_that!(node.candidates(MS), elements_are![eq("a"), eq("b"), eq("c")]);
-    node.watches(6, vec![evacuated("one", true, 6)], 10 * MS);
+    node.receive_watch_answer(6, vec![evacuation_change("one", true, 6)], 10 * MS);
     expect_that!(node.candidates(10 * MS), elements_are![eq("c")]);
-    node.watches(7, vec![evacuated("one", false, 7)], 20 * MS);
+    node.receive_watch_answer(7, vec![evacuation_change("one", false, 7)], 20 * MS);
     expect_that!(node.candidates(20 * MS), elements_are![eq("a"), eq("b"), eq("c")]);
 }
 
 #[gtest]
-fn it_holds_for_upstreams_that_join_later_and_for_ejected_ones() {
-    let mut node = Node::informed();
-    node.watches(6, vec![evacuated("two", true, 6), upstream("d", "two")], 10 * MS);
+fn an_evacuation_covers_upstreams_that_join_later_and_holds_while_all_others_are_ejected() {
+    let mut node = Node::with_upstreams();
+    node.receive_watch_answer(6, vec![evacuation_change("two", true, 6), upstream("d", "two")], 10 * MS);
     for id in ["a", "b"] {
         let key = node.key(id, 10 * MS);
         (0..3).for_each(|_| node.pool.get_mut(key).unwrap().was_unresponsive(10 * MS));
     }
-    expect_that!(node.candidates(11 * MS), elements_are![eq("a"), eq("b")], "ejected ones, and no others");
+    expect_that!(
+        node.candidates(11 * MS),
+        elements_are![eq("a"), eq("b")],
+        "ejected upstreams only, none of the evacuated data centre"
+    );
 }
 
 #[gtest]
-fn it_is_heard_by_a_relay_by_one_behind_a_gap_by_a_state_and_by_a_read_of_everything() {
-    let order = || vec![evacuated("one", true, 6)];
-    let mut by_relay = Node::informed();
-    by_relay.hears(relay(5, 6, order()), 10 * MS);
+fn an_evacuation_is_learned_from_relays_states_and_full_reads() {
+    let evacuation_of_one = || vec![evacuation_change("one", true, 6)];
+    let mut by_relay = Node::with_upstreams();
+    by_relay.receive_relay(relay(5, 6, evacuation_of_one()), 10 * MS);
     expect_that!(by_relay.candidates(10 * MS), elements_are![eq("c")], "relay");
 
-    let mut behind_a_gap = Node::informed();
-    behind_a_gap.reader.compare_with_peers(ReaderRole::Follower, 5, MS);
-    behind_a_gap.hears(relay(8, 9, order()), 10 * MS);
-    expect_that!(behind_a_gap.candidates(10 * MS), elements_are![eq("c")], "relay behind a gap");
+    let mut after_a_gap = Node::with_upstreams();
+    after_a_gap.reader.compare_with_peers(ReaderRole::Follower, 5, MS);
+    after_a_gap.receive_relay(relay(8, 9, evacuation_of_one()), 10 * MS);
+    expect_that!(after_a_gap.candidates(10 * MS), elements_are![eq("c")], "relay after a gap");
 
-    let mut by_steps = Node::informed();
-    by_steps.queries(&by_relay, 20 * MS);
-    expect_that!(by_steps.candidates(20 * MS), elements_are![eq("c")], "steps of a peer");
+    let mut by_delta = Node::with_upstreams();
+    by_delta.query_peer(&by_relay, 20 * MS);
+    expect_that!(by_delta.candidates(20 * MS), elements_are![eq("c")], "delta of a peer");
 
-    let mut newcomer = Node::new();
-    newcomer.queries(&by_relay, 20 * MS);
-    expect_that!(newcomer.candidates(20 * MS), elements_are![eq("c")], "whole state of a peer");
+    let mut starting_node = Node::new();
+    starting_node.query_peer(&by_relay, 20 * MS);
+    expect_that!(starting_node.candidates(20 * MS), elements_are![eq("c")], "whole state of a peer");
 
     let mut reader = Node::new();
-    reader.reads(page(9, vec![evacuated("one", true, 6), upstream("a", "one"), upstream("c", "two")]), MS);
-    expect_that!(reader.candidates(MS), elements_are![eq("c")], "read of everything");
-
-    let mut later = Node::informed();
-    later.reader.call_failed(CallFailure::HistoryGone, 10 * MS);
-    later
-        .reads(page(9, vec![evacuated("one", true, 6), upstream("a", "one"), upstream("c", "two")]), 20 * MS);
-    expect_that!(later.candidates(20 * MS), elements_are![eq("c")], "log that does not reach back");
+    reader.read_page(
+        page(9, vec![evacuation_change("one", true, 6), upstream("a", "one"), upstream("c", "two")]),
+        MS,
+    );
+    expect_that!(reader.candidates(MS), elements_are![eq("c")], "full read");
+
+    let mut after_history_gone = Node::with_upstreams();
+    after_history_gone.reader.call_failed(CallFailure::HistoryGone, 10 * MS);
+    after_history_gone.read_page(
+        page(9, vec![evacuation_change("one", true, 6), upstream("a", "one"), upstream("c", "two")]),
+        20 * MS,
+    );
+    expect_that!(
+        after_history_gone.candidates(20 * MS),
+        elements_are![eq("c")],
+        "full read after the platform dropped its history"
+    );
 }
 
 #[gtest]
-fn it_ends_by_any_way_that_shows_it_gone() {
-    let emptied = || {
-        let mut node = Node::informed();
-        node.watches(6, vec![evacuated("one", true, 6)], 10 * MS);
+fn an_evacuation_ends_by_relay_whole_state_or_full_read() {
+    let evacuated_node = || {
+        let mut node = Node::with_upstreams();
+        node.receive_watch_answer(6, vec![evacuation_change("one", true, 6)], 10 * MS);
         node
     };
-    let everything = || vec![upstream("a", "one"), upstream("b", "one"), upstream("c", "two")];
-    let mut by_read = emptied();
+    let all_upstreams = || vec![upstream("a", "one"), upstream("b", "one"), upstream("c", "two")];
+    let mut by_read = evacuated_node();
     by_read.reader.call_failed(CallFailure::HistoryGone, 20 * MS);
-    by_read.reads(page(9, everything()), 30 * MS);
-    expect_that!(by_read.candidates(30 * MS).len(), eq(3), "read of everything without it");
+    by_read.read_page(page(9, all_upstreams()), 30 * MS);
+    expect_that!(by_read.candidates(30 * MS).len(), eq(3), "full read without it");
 
-    let mut by_state = emptied();
+    let mut by_state = evacuated_node();
     let mark = ReadMark { revision: 9, version: 0 };
-    let reply = StateReply::new(mark, 0, true, everything(), None);
+    let reply = StateReply::new(mark, 0, true, all_upstreams(), None);
     let changes = by_state.reader.receive_state(reply, by_state.pool.known(), 30 * MS);
     by_state.apply(changes, 30 * MS);
     expect_that!(by_state.candidates(30 * MS).len(), eq(3), "whole state without it");
 
-    let mut by_relay = emptied();
-    by_relay.hears(relay(6, 7, vec![evacuated("one", false, 7)]), 30 * MS);
+    let mut by_relay = evacuated_node();
+    by_relay.receive_relay(relay(6, 7, vec![evacuation_change("one", false, 7)]), 30 * MS);
     expect_that!(by_relay.candidates(30 * MS).len(), eq(3), "relay");
 }
 
 #[gtest]
-fn neither_an_outage_nor_older_news_ends_it() {
-    let mut node = Node::informed();
+fn neither_an_outage_nor_an_older_state_ends_an_evacuation() {
+    let mut node = Node::with_upstreams();
     node.reader.compare_with_peers(ReaderRole::Follower, 5, MS);
-    // Heard early, by a relay behind a gap; then a state of before it, whole, comes from a peer.
-    node.hears(relay(8, 9, vec![evacuated("one", true, 9)]), 10 * MS);
+    // The evacuation arrives early, by a relay after a gap; then a peer sends a whole state with a lower
+    // revision.
+    node.receive_relay(relay(8, 9, vec![evacuation_change("one", true, 9)]), 10 * MS);
     let mark = ReadMark { revision: 7, version: 0 };
     let older = StateReply::new(mark, 0, true, vec![upstream("a", "one"), upstream("c", "two")], None);
     let changes = node.reader.receive_state(older, node.pool.known(), 20 * MS);
@@ -224,34 +239,42 @@
 
     node.pool.apply_evacuation(Evacuation { data_centre: "one".into(), active: false, revision: 10 });
     node.pool.apply_evacuation(Evacuation { data_centre: "one".into(), active: true, revision: 9 });
-    expect_that!(node.candidates(31_000 * MS).len(), eq(2), "an older order after it was taken back");
+    expect_that!(node.candidates(31_000 * MS).len(), eq(2), "an older entry after the evacuation ended");
 }
 
 #[gtest]
-fn the_last_word_on_a_data_centre_alone_is_relayed() {
-    let mut watcher = Node::informed();
+fn only_the_last_change_of_a_data_centre_is_relayed() {
+    let mut watcher = Node::with_upstreams();
     watcher.reader.compare_with_peers(ReaderRole::Watcher, 5, MS);
-    watcher.watches(6, vec![evacuated("one", true, 6), evacuated("two", true, 6)], 10 * MS);
-    watcher.watches(7, vec![evacuated("one", false, 7), told("d", 1), gone("d")], 400 * MS);
+    watcher.receive_watch_answer(
+        6,
+        vec![evacuation_change("one", true, 6), evacuation_change("two", true, 6)],
+        10 * MS,
+    );
+    watcher.receive_watch_answer(
+        7,
+        vec![evacuation_change("one", false, 7), told("d", 1), gone("d")],
+        400 * MS,
+    );
     let relay = watcher.reader.relay(400 * MS).unwrap();
-    let last = [evacuated("two", true, 6), evacuated("one", false, 7), gone("d")];
-    expect_that!(relay.changes, elements_are![eq(&last[0]), eq(&last[1]), eq(&last[2])]);
+    let expected = [evacuation_change("two", true, 6), evacuation_change("one", false, 7), gone("d")];
+    expect_that!(relay.changes, elements_are![eq(&expected[0]), eq(&expected[1]), eq(&expected[2])]);
 }
 
 #[gtest]
-fn a_send_that_was_chosen_before_is_withheld() {
-    let mut node = Node::informed();
+fn a_send_selected_before_an_evacuation_is_withheld() {
+    let mut node = Node::with_upstreams();
     let key = node.key("a", MS);
     expect_that!(node.pool.begin_send(key, MS), ok(()));
-    node.watches(6, vec![evacuated("one", true, 6)], 10 * MS);
+    node.receive_watch_answer(6, vec![evacuation_change("one", true, 6)], 10 * MS);
     expect_that!(node.pool.begin_send(key, 10 * MS), err(eq(Ineligible::Evacuated)));
-    node.watches(7, vec![evacuated("one", false, 7)], 20 * MS);
+    node.receive_watch_answer(7, vec![evacuation_change("one", false, 7)], 20 * MS);
     expect_that!(node.pool.begin_send(key, 20 * MS), ok(()));
     node.pool.remove(&Name::from("a"));
     expect_that!(node.pool.begin_send(key, 30 * MS), err(eq(Ineligible::Gone)));
 }
 
-fn searched(node: &Node, goal: SearchGoal) -> Search {
+fn new_search(node: &Node, goal: SearchGoal) -> Search {
     _ = node;
     let request = SearchRequest {
         service: "dispatch".into(),
@@ -265,10 +288,10 @@
 }
 
 #[gtest]
-fn a_probe_that_was_sent_before_does_not_choose_its_upstream() {
-    let mut node = Node::informed();
+fn a_probe_sent_before_an_evacuation_does_not_select_its_upstream() {
+    let mut node = Node::with_upstreams();
     for goal in [SearchGoal::UncontendedOnly, SearchGoal::Best { until_us: 50 * MS }] {
-        let mut search = searched(&node, goal);
+        let mut search = new_search(&node, goal);
         let SearchStep::Probe { upstreams, .. } = search.next(&mut node.pool, MS) else { panic!("no probe") };
         let key = node.key("a", MS);
         expect_that!(upstreams.is_empty(), eq(false));
@@ -279,15 +302,19 @@
         node.pool.apply_evacuation(Evacuation { data_centre: "one".into(), active: false, revision: 2 * MS });
         node.pool.record_load(key, load, 3 * MS);
         expect_that!(search.answered(key, &node.pool, 3 * MS), eq(true));
-        node = Node::informed();
+        node = Node::with_upstreams();
     }
 }
 
 #[gtest]
-fn when_all_are_evacuated_the_refusal_says_so() {
-    let mut node = Node::informed();
-    node.watches(6, vec![evacuated("one", true, 6), evacuated("two", true, 6)], 10 * MS);
-    let mut search = searched(&node, SearchGoal::Best { until_us: 20 * MS });
+fn if_all_data_centres_are_evacuated_the_refusal_names_the_reason() {
+    let mut node = Node::with_upstreams();
+    node.receive_watch_answer(
+        6,
+        vec![evacuation_change("one", true, 6), evacuation_change("two", true, 6)],
+        10 * MS,
+    );
+    let mut search = new_search(&node, SearchGoal::Best { until_us: 20 * MS });
     let step = search.next(&mut node.pool, 30 * MS);
     expect_that!(step, eq(&SearchStep::Done(Found::Nothing(Ineligible::Evacuated))));
     expect_that!(Ineligible::Evacuated.error(), eq(ErrorKind::Evacuated));
@@ -296,8 +323,8 @@
 }
 
 #[gtest]
-fn evacuations_that_come_and_go_take_bounded_room() {
-    let mut node = Node::informed();
+fn ended_evacuations_use_bounded_memory() {
+    let mut node = Node::with_upstreams();
     for revision in 0..10_000 {
         let data_centre = Name::from(format!("dc-{revision}").as_str());
         node.pool.apply_evacuation(Evacuation { data_centre: data_centre.clone(), active: true, revision });
--- a/crates/pointvane-dispatch/tests/foreign_messages.rs
+++ b/crates/pointvane-dispatch/tests/foreign_messages.rs
@@ -1,7 +1,8 @@
-//! Messages between nodes that were damaged on their way, or that no node writes: they are refused or taken, and nothing panics. The order of what is
-//! known may suffer from a node that errs; the process must not.
+//! Property tests with corrupted messages and with valid ones that no node would send: they are rejected or
+//! processed without a panic. A faulty peer may make a node's state wrong, but must not crash the process.
 //!
-//! `PROPTEST_CASES=1000000 cargo test --release -p pointvane-dispatch --test foreign_messages` plays more.
+//! `PROPTEST_CASES=1000000 cargo test --release -p pointvane-dispatch --test foreign_messages` runs more
+//! cases.
 
 mod common;
 
@@ -26,15 +27,15 @@
     std::env,
 };
 
-/// Cases in CI; by hand as many as `PROPTEST_CASES` says.
+/// Number of cases in CI, overridden by `PROPTEST_CASES`.
 const CASES: u32 = 2_000;
 const S: u64 = 1_000_000;
 const NOW_US: u64 = 1_000 * S;
-/// Numbers at which sums and differences go wrong.
-const ODD: [u64; 9] =
+/// Values that provoke overflow and underflow.
+const EDGE_VALUES: [u64; 9] =
     [0, 1, 5, 127, u32::MAX as u64, i64::MAX as u64, i64::MAX as u64 + 1, u64::MAX - 1, u64::MAX];
 
-/// A node that takes messages, and has read everything at revision 5.
+/// A node that has read the platform at revision 5 and receives messages.
 struct Node {
     reader: PlatformReader,
     pool: Pool,
@@ -71,7 +72,7 @@
         }
     }
 
-    fn take_relay(&mut self, datagram: RelayDatagram) {
+    fn receive_relay_datagram(&mut self, datagram: RelayDatagram) {
         if self.rounds.is_new(datagram.origin, datagram.round, NOW_US) {
             let mut nodes = [1, u64::MAX, 7 << 40].map(|hash| OrderedNode { hash, node: hash });
             let mut rng = SmallRng::seed_from_u64(1);
@@ -80,17 +81,17 @@
             let changes = self.reader.receive_relay(relay, 0.5, NOW_US);
             self.apply(changes, NOW_US);
         }
-        self.go_on();
+        self.run_node();
     }
 
-    fn take_state(&mut self, reply: StateReply) {
+    fn receive_state_reply(&mut self, reply: StateReply) {
         let known: Vec<Change> = self.pool.known().collect();
         let changes = self.reader.receive_state(reply, known.into_iter(), NOW_US);
         self.apply(changes, NOW_US);
-        self.go_on();
+        self.run_node();
     }
 
-    fn take_quarantine(&mut self, message: QuarantineMessage) {
+    fn receive_quarantine_message(&mut self, message: QuarantineMessage) {
         if let QuarantineMessage::News(news) = message {
             self.quarantine.receive(&news, NOW_US);
             self.quarantine.expire(NOW_US + S);
@@ -98,14 +99,14 @@
         }
     }
 
-    fn take_limits(&mut self, message: LimitMessage) {
-        let reached = LimitPlace { before: 0, processes: 1, reached_share: 1.0 };
+    fn receive_limit_message(&mut self, message: LimitMessage) {
+        let place = LimitPlace { before: 0, processes: 1, reached_share: 1.0 };
         for announced in &message.limits {
             self.pool.receive_limit(announced, NOW_US);
         }
         for now_us in [NOW_US, NOW_US + S, NOW_US + 40 * S, NOW_US + 3_600 * S] {
             for key in self.pool.limited() {
-                self.pool.set_limit_place(key, Some(reached), now_us);
+                self.pool.set_limit_place(key, Some(place), now_us);
                 _ = self.pool.begin_send(key, now_us);
                 self.pool.record_limit(key, LimitNotice::Advertised(u32::MAX), Some(now_us), now_us);
             }
@@ -113,11 +114,11 @@
             self.pool.take_limit_announcements(now_us);
             self.pool.expire_limits(now_us);
         }
-        self.go_on();
+        self.run_node();
     }
 
-    /// What a node does next with what it knows by then.
-    fn go_on(&mut self) {
+    /// Runs the node's periodic work on its resulting state, at several times.
+    fn run_node(&mut self) {
         for now_us in [NOW_US, NOW_US + S, NOW_US + 3_600 * S] {
             self.reader.next(now_us);
             self.reader.next_query(now_us);
@@ -125,7 +126,7 @@
             let wanted =
                 Wanted { priority: 0, tried: &[], body_bytes: 0, count: 4, regions: &AllowedRegions::ANY };
             for key in self.pool.candidates(&"dispatch".into(), &wanted, now_us) {
-                // Whether it may is not asked here.
+                // Whether the upstream is eligible does not matter here.
                 _ = self.pool.begin_send(key, now_us);
             }
             self.pool.forget_expired(now_us);
@@ -133,12 +134,12 @@
     }
 }
 
-fn odd() -> impl Strategy<Value = u64> {
-    prop_oneof![select(ODD.to_vec()), any::<u64>(), 0..20_u64]
+fn any_u64() -> impl Strategy<Value = u64> {
+    prop_oneof![select(EDGE_VALUES.to_vec()), any::<u64>(), 0..20_u64]
 }
 
 fn any_record() -> impl Strategy<Value = UpstreamRecord> {
-    (select(vec!["a", "b", ""]), prop::option::of(odd()), odd(), odd(), any::<bool>()).prop_map(
+    (select(vec!["a", "b", ""]), prop::option::of(any_u64()), any_u64(), any_u64(), any::<bool>()).prop_map(
         |(id, born_ms, sequence, warm_up_left_ms, draining)| UpstreamRecord {
             born_ms,
             draining,
@@ -153,18 +154,18 @@
     prop_oneof![
         4 => any_record().prop_map(Change::Upstream),
         1 => select(vec!["a", "b", ""]).prop_map(gone),
-        1 => (odd(), any::<bool>()).prop_map(|(revision, active)| {
+        1 => (any_u64(), any::<bool>()).prop_map(|(revision, active)| {
             Change::Evacuation(Evacuation { data_centre: "one".into(), active, revision })
         }),
     ]
 }
 
 fn any_mark() -> impl Strategy<Value = ReadMark> {
-    (odd(), odd()).prop_map(|(revision, version)| ReadMark { revision, version })
+    (any_u64(), any_u64()).prop_map(|(revision, version)| ReadMark { revision, version })
 }
 
 fn any_relay() -> impl Strategy<Value = RelayDatagram> {
-    (odd(), any_mark(), odd(), vec(any_change(), 0..5), odd(), (odd(), odd())).prop_map(
+    (any_u64(), any_mark(), any_u64(), vec(any_change(), 0..5), any_u64(), (any_u64(), any_u64())).prop_map(
         |(since, mark, age_ms, changes, round, (first, last))| RelayDatagram {
             origin: "10.0.0.9:7660".parse().unwrap(),
             round,
@@ -175,7 +176,7 @@
 }
 
 fn any_state() -> impl Strategy<Value = StateReply> {
-    (any_mark(), odd(), any::<bool>(), vec(any_change(), 0..5), prop::option::of(odd())).prop_map(
+    (any_mark(), any_u64(), any::<bool>(), vec(any_change(), 0..5), prop::option::of(any_u64())).prop_map(
         |(mark, age_ms, whole, changes, version)| {
             let update = version.map(|version| {
                 let mut configuration = configuration(version);
@@ -187,7 +188,7 @@
     )
 }
 
-/// News as a node writes them, of crashes at odd times.
+/// News encoded by a node, of crashes at arbitrary times.
 fn any_news() -> impl Strategy<Value = QuarantineMessage> {
     vec((0..3_u64, 0..2_000 * S, 0..10 * S), 0..6).prop_map(|crashes| {
         let mut node = Quarantine::new(QuarantineOptions::default(), u64::MAX, u64::MAX - 10);
@@ -200,11 +201,11 @@
     })
 }
 
-/// Bytes of a message with some of them changed and the rest cut off.
+/// Overwrites some bytes of an encoded message and truncates it at `cut`.
 fn damaged(mut bytes: Vec<u8>, flips: &[(Index, u8)], cut: Option<Index>) -> Vec<u8> {
     if bytes.len() > 1 {
         for (at, value) in flips {
-            // The first byte is the version.
+            // The first byte, the version, is left as it is.
             let at = 1 + at.index(bytes.len() - 1);
             bytes[at] = *value;
         }
@@ -215,7 +216,7 @@
     bytes
 }
 
-fn damage() -> impl Strategy<Value = (Vec<(Index, u8)>, Option<Index>)> {
+fn any_damage() -> impl Strategy<Value = (Vec<(Index, u8)>, Option<Index>)> {
     (vec((any::<Index>(), any::<u8>()), 0..4), prop::option::weighted(0.1, any::<Index>()))
 }
 
@@ -226,46 +227,47 @@
 }
 
 #[gtest]
-fn whatever_a_relay_says_it_does_no_harm_to_the_process() {
-    let played = runner().run(&(vec(any_relay(), 1..4), damage()), |(relays, (flips, cut))| {
+fn no_relay_causes_a_panic() {
+    let result = runner().run(&(vec(any_relay(), 1..4), any_damage()), |(relays, (flips, cut))| {
         let mut node = Node::new();
         for relay in relays {
             let bytes = damaged(codec::encode(&relay).unwrap(), &flips, cut);
-            node.take_relay(relay);
+            node.receive_relay_datagram(relay);
             if let Ok(relay) = codec::decode::<RelayDatagram>(&bytes) {
-                node.take_relay(relay);
+                node.receive_relay_datagram(relay);
             }
         }
         Ok(())
     });
-    played.unwrap();
+    result.unwrap();
 }
 
 #[gtest]
-fn whatever_a_state_says_it_does_no_harm_to_the_process() {
-    let played = runner().run(&(vec(any_state(), 1..4), damage()), |(states, (flips, cut))| {
+fn no_state_reply_causes_a_panic() {
+    let result = runner().run(&(vec(any_state(), 1..4), any_damage()), |(states, (flips, cut))| {
         let mut node = Node::new();
         for state in states {
             let bytes = damaged(codec::encode(&state).unwrap(), &flips, cut);
-            node.take_state(state);
+            node.receive_state_reply(state);
             if let Ok(state) = codec::decode::<StateReply>(&bytes) {
-                node.take_state(state);
+                node.receive_state_reply(state);
             }
         }
         Ok(())
     });
-    played.unwrap();
+    result.unwrap();
 }
 
 fn any_limits() -> impl Strategy<Value = LimitMessage> {
-    let limit = (select(vec!["a", "b", ""]), prop::option::of(odd()), prop::option::of(odd()), odd())
-        .prop_map(|(upstream, born_ms, per_1000_s, age_ms)| LimitAnnouncement {
-            upstream: upstream.into(),
-            born_ms,
-            per_1000_s: per_1000_s.map(|per_1000_s| per_1000_s as u32),
-            age_ms: age_ms as u32,
-        });
-    (vec(limit, 0..4), odd(), odd()).prop_map(|(limits, first, last)| LimitMessage {
+    let limit =
+        (select(vec!["a", "b", ""]), prop::option::of(any_u64()), prop::option::of(any_u64()), any_u64())
+            .prop_map(|(upstream, born_ms, per_1000_s, age_ms)| LimitAnnouncement {
+                upstream: upstream.into(),
+                born_ms,
+                per_1000_s: per_1000_s.map(|per_1000_s| per_1000_s as u32),
+                age_ms: age_ms as u32,
+            });
+    (vec(limit, 0..4), any_u64(), any_u64()).prop_map(|(limits, first, last)| LimitMessage {
         origin: "10.0.0.1:7664".parse().unwrap(),
         segment: Segment { first, last },
         limits,
@@ -273,32 +275,32 @@
 }
 
 #[gtest]
-fn whatever_a_message_on_limits_says_it_does_no_harm_to_the_process() {
-    let played = runner().run(&(any_limits(), damage()), |(message, (flips, cut))| {
+fn no_limit_message_causes_a_panic() {
+    let result = runner().run(&(any_limits(), any_damage()), |(message, (flips, cut))| {
         let mut node = Node::new();
         let bytes = damaged(codec::encode(&message).unwrap(), &flips, cut);
-        node.take_limits(message);
+        node.receive_limit_message(message);
         if let Ok(message) = codec::decode::<LimitMessage>(&bytes) {
-            node.take_limits(message);
+            node.receive_limit_message(message);
         }
         Ok(())
     });
-    played.unwrap();
+    result.unwrap();
 }
 
 #[gtest]
-fn whatever_news_say_they_do_no_harm_to_the_process() {
-    let played = runner().run(&(any_news(), damage(), odd()), |(news, (flips, cut), number)| {
+fn no_quarantine_message_or_state_request_causes_a_panic() {
+    let result = runner().run(&(any_news(), any_damage(), any_u64()), |(news, (flips, cut), number)| {
         let mut node = Node::new();
         let bytes = damaged(codec::encode(&news).unwrap(), &flips, cut);
-        node.take_quarantine(news);
+        node.receive_quarantine_message(news);
         if let Ok(news) = codec::decode::<QuarantineMessage>(&bytes) {
-            node.take_quarantine(news);
+            node.receive_quarantine_message(news);
         }
         let request = StateRequest { known: ReadMark { revision: number, version: number } };
         let bytes = damaged(codec::encode(&request).unwrap(), &flips, cut);
         _ = codec::decode::<StateRequest>(&bytes);
         Ok(())
     });
-    played.unwrap();
+    result.unwrap();
 }
--- a/crates/pointvane-dispatch/tests/routing.rs
+++ b/crates/pointvane-dispatch/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes, splits and the directory.
+//! Tests of route look-up, traffic splits and the directory.
 
 use {
     googletest::prelude::*,
@@ -62,28 +62,28 @@
     expect_that!(counts[2], eq(0));
 }
 
-fn members(centres: &[(&str, u8)]) -> Vec<DirectoryMember> {
+fn members(nodes_by_data_centre: &[(&str, u8)]) -> Vec<DirectoryMember> {
     let mut members = Vec::new();
-    for (index, (centre, count)) in centres.iter().enumerate() {
+    for (index, (data_centre, count)) in nodes_by_data_centre.iter().enumerate() {
         for number in 0..*count {
             let address = SocketAddr::from(([10, index as u8, 0, number], 80));
-            members.push(DirectoryMember { address, data_centre: (*centre).into() });
+            members.push(DirectoryMember { address, data_centre: (*data_centre).into() });
         }
     }
     members
 }
 
 #[gtest]
-fn callers_get_the_same_nodes_of_their_data_centre_from_everybody() {
+fn every_node_answers_with_the_same_nodes_of_the_callers_data_centre() {
     let mut members = members(&[("one", 3), ("two", 3)]);
-    let near = directory_addresses(&members, Some(&"one".into()));
-    expect_that!(near.len(), eq(3));
+    let local = directory_addresses(&members, Some(&"one".into()));
+    expect_that!(local.len(), eq(3));
     members.reverse();
-    expect_that!(directory_addresses(&members, Some(&"one".into())), eq(&near));
+    expect_that!(directory_addresses(&members, Some(&"one".into())), eq(&local));
 }
 
 #[gtest]
-fn callers_of_a_data_centre_with_too_few_nodes_get_all() {
+fn callers_of_a_data_centre_with_too_few_nodes_get_all_nodes() {
     let members = members(&[("one", 1), ("two", 3)]);
     expect_that!(directory_addresses(&members, Some(&"one".into())).len(), eq(4));
     expect_that!(directory_addresses(&members, Some(&Name::from("three"))).len(), eq(4));
@@ -91,6 +91,6 @@
 }
 
 #[gtest]
-fn a_large_fleet_is_cut_to_what_an_answer_holds() {
+fn the_number_of_addresses_in_an_answer_is_limited() {
     expect_that!(directory_addresses(&members(&[("one", 200)]), Some(&"one".into())).len(), eq(64));
 }
--- a/crates/pointvane-dispatch/tests/wire_format.rs
+++ b/crates/pointvane-dispatch/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of every message between nodes stay as they are: one golden value for each kind and variant.
+//! Compares the encoding of messages between nodes with golden values, one for each message type and variant.
 
 use {
     googletest::prelude::*,
@@ -15,18 +15,18 @@
     std::{fmt::Write, sync::Arc},
 };
 
-/// The golden lines, `name bytes-in-hexadecimal`.
+/// The golden values, one `name hexadecimal-bytes` per line.
 const GOLDEN: &str = include_str!("golden/wire_format.txt");
 
-/// Messages in the form of the golden lines.
+/// Encoded messages in the format of [`GOLDEN`].
 #[derive(Default)]
 struct Lines(String);
 
 impl Lines {
     fn add<T: Serialize + DeserializeOwned>(&mut self, name: &str, message: &T) {
         let bytes = codec::encode(message).unwrap();
-        let read: T = codec::decode(&bytes).unwrap();
-        assert_eq!(codec::encode(&read).unwrap(), bytes, "{name} reads back");
+        let decoded: T = codec::decode(&bytes).unwrap();
+        assert_eq!(codec::encode(&decoded).unwrap(), bytes, "{name} changes when decoded and encoded again");
         write!(self.0, "{name} ").unwrap();
         bytes.iter().for_each(|byte| write!(self.0, "{byte:02x}").unwrap());
         self.0.push('\n');
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn every_message_has_the_bytes_that_it_always_had() {
+fn message_encodings_match_the_golden_values() {
     let mut lines = Lines::default();
     let mark = ReadMark { revision: 413, version: 12 };
     let relay = Relay { since: 400, mark, age_ms: 250, changes: changes() };
