--- a/crates/pointvane-dispatch/src/replica/fan_out.rs
+++ b/crates/pointvane-dispatch/src/replica/fan_out.rs
@@ -14,7 +14,7 @@
 
 /// Number of nodes that each node sends to when broadcasts are forwarded.
 pub const FAN_OUT: usize = 12;
-/// Largest number of other nodes up to which the origin sends to all of them itself, without forwarders.
+/// Largest number of other nodes to which the origin sends directly, without forwarders.
 ///
 /// Forwarding in fleets of every size gave worse dispatch results than sending directly in small ones.
 pub const DIRECT_MAX: usize = 150;
