--- a/crates/pointvane-core/src/backoff.rs
+++ b/crates/pointvane-core/src/backoff.rs
@@ -1,101 +1,109 @@
-//! Backing off from one upstream: from its word that it wants no requests for a time until it has run one again.
+//! Backoff from one upstream: from its `Retry-After` until it has run a request again.
 //!
-//! Of both forms, each of which asks [`Backoff::holds`] where it decides whether an upstream may get work, and tells of sends and their ends.
-//! Inputs: the time that was asked for (`retry_after.rs`), a time by which this process returns later than that, the steady clock, suspended time
-//! included. Nothing can be missing. Invariant: no send begins before the end of any time that was asked for (`tests/backoff.rs`).
+//! Both deployments check [`Backoff::holds`] when they select an upstream, and record each send and its
+//! result. Inputs: the requested backoff (`retry_after.rs`), the random delay that this process adds to it,
+//! and a monotonic clock that includes suspended time. Invariant: no request is sent before the end of any
+//! requested backoff (`tests/backoff.rs`).
 //!
-//! After that time all processes that were told so at one moment would return at one moment, before any report of the upstream's load
-//! tells them of each other. So each returns at a time of its own, and with one request at first.
+//! Processes that received a `Retry-After` at the same time would resume at the same time, before the
+//! upstream's load reports reveal them to each other. Each process therefore adds its own delay and resumes
+//! with a single trial request.
 
-/// Longest time for which one request alone is out at an upstream that returns, in microseconds.
+/// Time for which a trial request blocks other sends if it does not finish, in microseconds.
 ///
-/// Not measured: longer than most work on the users' platform takes (24 to 370 ms), so that the answer comes first as a rule.
-const TRIAL_MAX_US: u64 = 500_000;
+/// Requests take 24 to 370 ms on the target platform, so a trial normally finishes before this limit.
+const TRIAL_TIMEOUT_US: u64 = 500_000;
 
-/// Time of work at an upstream by which the return of processes is spread, in microseconds.
+/// Assumed service time of a request, in microseconds: processes resume at the rate at which slots free up.
 ///
-/// Not measured: work on the users' platform takes 24 to 370 ms. Processes return at the rate at which its slots come free.
-const WORK_US: u64 = 100_000;
-/// Processes for each slot of an upstream that may return to it at one moment: the few requests that each has do not come together.
+/// Requests take 24 to 370 ms on the target platform.
+const SERVICE_TIME_US: u64 = 100_000;
+/// Processes per slot that may resume without a delay, because the few requests of each rarely coincide.
 ///
-/// Simulated (`pointvane-dispatch/tests/notices_fleet.rs`), requests of the first 100 ms at the upstream with the most, after a pause of 3 s of all
-/// upstreams, where 14 of 472 processes use each of 1,080 upstreams with 6 slots and 12 are borne: 10 or 11 at once; 9 to 20 where they
-/// return spread over 233 ms, since whatever returns first draws all.
-const PROCESSES_PER_SLOT: usize = 3;
-/// Longest time by which a process returns late, in microseconds.
+/// In simulated fleets (`pointvane-dispatch/tests/notices_fleet.rs`) where 14 of 472 processes use each of
+/// 1,080 upstreams with 6 slots, at most 11 requests reached one upstream in the first 100 ms after a backoff
+/// of all upstreams for 3 s; an upstream can take 12. Spread over 233 ms, it was up to 20, because the first
+/// upstream to resume attracted the requests of all the others.
+const UNDELAYED_PROCESSES_PER_SLOT: usize = 3;
+/// Upper bound of the delay that a process adds, in microseconds.
 ///
-/// Simulated as above, where 1,800 processes use 6 upstreams and 30 are borne: 95 if they return at once, 12 and 16 with 1 s (3 to 10 with 2 s); in use
-/// again after 0.2, 0.6 and 1 s.
-const RETURN_SPREAD_MAX_US: u64 = 1_000_000;
+/// In the same simulation with 1,800 processes on 6 upstreams, which can take 30 requests each, resuming
+/// without a delay sent 95 requests to one upstream in the first 100 ms. A bound of 1 s lowers this to 16,
+/// and upstreams are in use again after 0.6 s instead of 0.2 s; 2 s lowers it to 10, after 1 s.
+const RESUME_DELAY_MAX_US: u64 = 1_000_000;
 
-/// The time by which a process at most returns late to an upstream of so many slots that it and others were asked to leave alone, in
-/// microseconds: no later than twice the time asked for.
+/// Upper bound of the delay to add to a backoff of `for_us`, in microseconds, when `processes` processes back
+/// off from an upstream with `slots` slots. At most `for_us`, so that no process resumes later than after
+/// twice the requested backoff.
 pub fn return_spread_us(processes: usize, slots: u32, for_us: u64) -> u64 {
     let slots = slots.max(1) as usize;
-    let beyond = processes.saturating_sub(slots * PROCESSES_PER_SLOT) as u64;
-    (beyond * WORK_US / slots as u64).min(RETURN_SPREAD_MAX_US).min(for_us)
+    let delayed_processes = processes.saturating_sub(slots * UNDELAYED_PROCESSES_PER_SLOT) as u64;
+    (delayed_processes * SERVICE_TIME_US / slots as u64).min(RESUME_DELAY_MAX_US).min(for_us)
 }
 
-/// Whether one upstream wants no requests, and until when.
+/// Backoff state of one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Backoff {
-    /// Until when it gets nothing; 0 if it never asked, or has run a request since.
+    /// End of the backoff; 0 if none was requested, or if the upstream has run a request since.
     until_us: u64,
-    /// Until when nothing is sent beside the request that is on trial there; 0 if none is.
+    /// Until when the trial request blocks other sends; 0 if there is none.
     trial_until_us: u64,
 }
 
 impl Backoff {
-    /// What holds for a later life of the upstream: what is known may have been asked for by that life already, before it was known, so one request goes there
-    /// alone at first.
+    /// State for a new incarnation of the upstream. The requested backoff is dropped, but a single trial
+    /// request is sent first, because the new incarnation may have requested the backoff before it was known
+    /// here.
     pub fn for_later_life(self, now_us: u64) -> Self {
         let until_us = if self.wants_none(now_us) { now_us } else { 0 };
         Self { until_us, trial_until_us: 0 }
     }
 
-    /// Takes the word that an upstream wants nothing for a time, to which this process adds `later_us`; true if it gets nothing for longer than by
-    /// what was known before. A shorter time takes nothing back of an earlier one.
-    pub fn asked(&mut self, for_us: u64, later_us: u64, now_us: u64) -> bool {
+    /// Records a requested backoff of `for_us` microseconds, to which this process adds `delay_us`. Returns
+    /// whether the backoff ends later than before; an earlier end never shortens the current backoff.
+    pub fn asked(&mut self, for_us: u64, delay_us: u64, now_us: u64) -> bool {
         let until_us = now_us.saturating_add(for_us);
         self.trial_until_us = 0;
         if until_us <= self.until_us {
             return false;
         }
-        self.until_us = until_us.saturating_add(later_us);
+        self.until_us = until_us.saturating_add(delay_us);
         true
     }
 
-    /// Takes note that the upstream takes any number of requests again, as all processes learn at one moment: this one returns `later_us` later, with one
-    /// request at first. What the upstream asked for otherwise goes on to hold.
-    pub fn returns(&mut self, later_us: u64, now_us: u64) {
-        self.until_us = self.until_us.max(now_us.saturating_add(later_us)).max(1);
+    /// Records that the upstream's request limit has ended. All processes learn this at the same time, so
+    /// this one resumes after `delay_us`, with a single trial request. A requested backoff that ends later
+    /// stays in force.
+    pub fn returns(&mut self, delay_us: u64, now_us: u64) {
+        self.until_us = self.until_us.max(now_us.saturating_add(delay_us)).max(1);
     }
 
-    /// Whether the upstream wants nothing now; what is on trial there may go on.
+    /// Whether the backoff is in force. Unlike [`Self::holds`], this ignores a running trial request.
     pub fn wants_none(&self, now_us: u64) -> bool {
         now_us < self.until_us
     }
 
-    /// Whether nothing may be sent there now.
+    /// Whether sends are blocked now, by the backoff or by a running trial request.
     pub fn holds(&self, now_us: u64) -> bool {
         self.wants_none(now_us) || now_us < self.trial_until_us
     }
 
-    /// Until when nothing may be sent there; none if something may be.
+    /// End of the current block; `None` if sends are allowed.
     pub fn until_us(&self, now_us: u64) -> Option<u64> {
         self.holds(now_us).then(|| self.until_us.max(self.trial_until_us))
     }
 
-    /// Takes note of a send; the first after the time asked for is on trial.
+    /// Records a send; the first one after a backoff is the trial request.
     pub fn send_began(&mut self, now_us: u64) {
         if self.until_us > 0 {
-            self.trial_until_us = now_us + TRIAL_MAX_US;
+            self.trial_until_us = now_us + TRIAL_TIMEOUT_US;
         }
     }
 
-    /// Takes the end of a request that was sent there; true if that shows that the upstream takes requests again.
+    /// Records the end of a request; `ran` says whether the upstream ran it. Returns whether this ends the
+    /// backoff.
     ///
-    /// One that was sent before the upstream asked, and ends well while it wants nothing, shows nothing.
+    /// A request that ends while the backoff is in force was sent before it and says nothing about its end.
     pub fn send_ended(&mut self, ran: bool, now_us: u64) -> bool {
         if self.until_us == 0 || now_us < self.until_us {
             return false;
--- a/crates/pointvane-core/src/hedge_schedule.rs
+++ b/crates/pointvane-core/src/hedge_schedule.rs
@@ -1,29 +1,32 @@
-//! When a hedge of one request is considered: once at first, and again as long as none was sent, since slack and budget come and go. Of both forms.
+//! Exponential schedule of the times at which a hedge of one request is considered. Both deployments use it.
+//!
+//! As long as no hedge has been sent, it is considered again, because spare capacity and the hedge budget
+//! vary over time.
 
-/// Factor by which the time since the start grows from one try of a hedge to the next.
-const NEXT_TRY_FACTOR: f64 = 2.0;
-/// Time of the earliest try: from nothing, no factor leads to a later one.
-const FIRST_TRY_MIN_MS: f64 = 1.0;
+/// Growth factor of the time since the first attempt from one check to the next.
+const CHECK_TIME_FACTOR: f64 = 2.0;
+/// Earliest time of the first check, in milliseconds: a time of 0 would not grow.
+const FIRST_CHECK_MIN_MS: f64 = 1.0;
 
-/// When a hedge of one request is considered, in milliseconds since its first attempt began.
+/// Times at which a hedge of one request is considered, in milliseconds since its first attempt began.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HedgeSchedule {
     next_ms: f64,
 }
 
 impl HedgeSchedule {
-    /// A schedule whose first try is due after so many milliseconds.
+    /// Creates a schedule whose first check is due after `first_ms` milliseconds.
     pub fn new(first_ms: f64) -> Self {
-        Self { next_ms: first_ms.max(FIRST_TRY_MIN_MS) }
+        Self { next_ms: first_ms.max(FIRST_CHECK_MIN_MS) }
     }
 
-    /// When the next try is due.
+    /// Time of the next check, in milliseconds since the first attempt began.
     pub fn next_ms(&self) -> f64 {
         self.next_ms
     }
 
-    /// Takes note of a try.
+    /// Advances the schedule after a check that sent no hedge.
     pub fn tried(&mut self) {
-        self.next_ms *= NEXT_TRY_FACTOR;
+        self.next_ms *= CHECK_TIME_FACTOR;
     }
 }
--- a/crates/pointvane-core/src/token_bucket.rs
+++ b/crates/pointvane-core/src/token_bucket.rs
@@ -1,64 +1,66 @@
-//! Token buckets, filled by time or by what a caller earns; both forms of the product budget retries and probes with them.
+//! Token buckets that are refilled over time or explicitly. Both deployments budget retries and probes with
+//! them.
 
 use crate::US_PER_S;
 
-/// A bucket of tokens with a bound on how many it holds.
+/// Token bucket with a capacity and an optional refill rate.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     tokens: f64,
+    /// Capacity.
     tokens_max: f64,
     rate_per_s: f64,
-    filled_at_us: u64,
+    refilled_at_us: u64,
 }
 
 impl TokenBucket {
-    /// A full bucket that time fills at `rate_per_s`.
+    /// Creates a full bucket that is refilled at `rate_per_s` tokens per second.
     pub fn timed(rate_per_s: f64, tokens_max: f64, now_us: u64) -> Self {
-        Self { tokens: tokens_max, tokens_max, rate_per_s, filled_at_us: now_us }
+        Self { tokens: tokens_max, tokens_max, rate_per_s, refilled_at_us: now_us }
     }
 
-    /// An empty bucket that time fills at `rate_per_s`.
+    /// Creates an empty bucket that is refilled at `rate_per_s` tokens per second.
     pub fn empty(rate_per_s: f64, tokens_max: f64, now_us: u64) -> Self {
-        Self { tokens: 0.0, tokens_max, rate_per_s, filled_at_us: now_us }
+        Self { tokens: 0.0, tokens_max, rate_per_s, refilled_at_us: now_us }
     }
 
-    /// Takes a new rate and bound; what was filled before stays, within the bound.
+    /// Changes the refill rate and the capacity. Tokens accrued so far are kept, up to the new capacity.
     pub fn set(&mut self, rate_per_s: f64, tokens_max: f64, now_us: u64) {
-        self.fill(now_us);
+        self.refill(now_us);
         self.rate_per_s = rate_per_s;
         self.tokens_max = tokens_max;
         self.tokens = self.tokens.min(tokens_max);
     }
 
-    /// A full bucket that only [`Self::earn`] fills.
+    /// Creates a full bucket that only [`Self::earn`] refills.
     pub fn earned(tokens_max: f64) -> Self {
         Self::timed(0.0, tokens_max, 0)
     }
 
-    /// Adds tokens.
+    /// Adds tokens, up to the capacity.
     pub fn earn(&mut self, tokens: f64) {
         self.tokens = (self.tokens + tokens).min(self.tokens_max);
     }
 
-    /// Takes `tokens` if they are there.
+    /// Takes `tokens` if that many are available; returns whether it did.
     pub fn take(&mut self, tokens: f64, now_us: u64) -> bool {
-        self.fill(now_us);
-        let enough = self.tokens >= tokens;
-        if enough {
+        self.refill(now_us);
+        let is_available = self.tokens >= tokens;
+        if is_available {
             self.tokens -= tokens;
         }
-        enough
+        is_available
     }
 
-    /// Tokens there now.
+    /// Number of tokens available now.
     pub fn level(&mut self, now_us: u64) -> f64 {
-        self.fill(now_us);
+        self.refill(now_us);
         self.tokens
     }
 
-    fn fill(&mut self, now_us: u64) {
-        let passed_us = now_us.saturating_sub(self.filled_at_us);
-        self.filled_at_us = self.filled_at_us.max(now_us);
-        self.earn(self.rate_per_s * passed_us as f64 / US_PER_S as f64);
+    fn refill(&mut self, now_us: u64) {
+        let elapsed_us = now_us.saturating_sub(self.refilled_at_us);
+        self.refilled_at_us = self.refilled_at_us.max(now_us);
+        self.earn(self.rate_per_s * elapsed_us as f64 / US_PER_S as f64);
     }
 }
--- a/crates/pointvane-core/tests/backoff.rs
+++ b/crates/pointvane-core/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! What `Retry-After` asks for, and backing off from an upstream until it has run a request again.
+//! Tests of parsing `Retry-After` and of the backoff from an upstream until it has run a request again.
 
 use {
     googletest::prelude::*,
@@ -8,12 +8,12 @@
 
 const HOUR_US: u64 = 3_600 * US_PER_S;
 
-fn asked(status: u16, values: &[&str]) -> Option<u64> {
+fn parse_retry_after(status: u16, values: &[&str]) -> Option<u64> {
     retry_after_us(status, values.iter().map(|value| value.as_bytes()))
 }
 
 #[gtest]
-fn seconds_and_fractions_are_heeded_and_nothing_else() {
+fn only_decimal_seconds_are_accepted() {
     for (text, us) in [
         ("3", 3_000_000),
         (" 3 ", 3_000_000),
@@ -24,60 +24,60 @@
         ("007", 7_000_000),
         ("3600", HOUR_US),
     ] {
-        expect_that!(asked(503, &[text]), some(eq(us)), "{text}");
+        expect_that!(parse_retry_after(503, &[text]), some(eq(us)), "{text}");
     }
     let date = "Fri, 31 Dec 1999 23:59:59 GMT";
     for text in
         ["", " ", "0", "0.0", "-1", "+1", "NaN", "inf", "1e400", "1e3", "soon", "3s", "1.2.3", ".", date]
     {
-        expect_that!(asked(503, &[text]), none(), "{text}");
+        expect_that!(parse_retry_after(503, &[text]), none(), "{text}");
     }
     expect_that!(retry_after_us(503, [[0xff, 0xfe].as_slice()]), none());
-    // Digits without end are too large for a number.
-    expect_that!(asked(503, &["9".repeat(400).as_str()]), none());
+    // 400 digits overflow to infinity.
+    expect_that!(parse_retry_after(503, &["9".repeat(400).as_str()]), none());
 }
 
 #[gtest]
-fn an_hour_is_the_longest_that_is_heeded() {
+fn longer_times_are_reduced_to_an_hour() {
     for text in ["3601", "86400", "1000000000000", &"9".repeat(40)] {
-        expect_that!(asked(503, &[text]), some(eq(HOUR_US)), "{text}");
+        expect_that!(parse_retry_after(503, &[text]), some(eq(HOUR_US)), "{text}");
     }
 }
 
 #[gtest]
-fn of_several_values_the_longest_holds() {
-    expect_that!(asked(503, &["1", "3", "2"]), some(eq(3_000_000)));
-    expect_that!(asked(503, &["1, 3,soon"]), some(eq(3_000_000)));
-    expect_that!(asked(503, &["soon", "0"]), none());
+fn the_longest_of_several_values_applies() {
+    expect_that!(parse_retry_after(503, &["1", "3", "2"]), some(eq(3_000_000)));
+    expect_that!(parse_retry_after(503, &["1, 3,soon"]), some(eq(3_000_000)));
+    expect_that!(parse_retry_after(503, &["soon", "0"]), none());
 }
 
-/// 429 speaks of whoever sent the request, 421 of another upstream, 408 of one request.
+/// 429 concerns the client, 421 another upstream and 408 a single request.
 #[gtest]
-fn only_a_503_asks_for_a_pause() {
+fn only_status_503_requests_a_backoff() {
     for status in [200, 301, 408, 413, 421, 429, 500, 502, 504] {
-        expect_that!(asked(status, &["3"]), none(), "{status}");
+        expect_that!(parse_retry_after(status, &["3"]), none(), "{status}");
     }
 }
 
 #[gtest]
-fn nothing_is_sent_until_the_time_is_over_and_one_request_alone_then() {
+fn sends_are_blocked_until_the_backoff_ends_and_resume_with_one_trial_request() {
     let mut backoff = Backoff::default();
     expect_that!(backoff.holds(1), eq(false));
     expect_that!(backoff.asked(3 * US_PER_S, US_PER_S / 2, 10 * US_PER_S), eq(true));
     expect_that!(backoff.until_us(10 * US_PER_S), some(eq(13 * US_PER_S + US_PER_S / 2)));
     expect_that!(backoff.holds(13 * US_PER_S), eq(true));
-    let back_us = 13 * US_PER_S + US_PER_S / 2;
-    expect_that!(backoff.holds(back_us), eq(false));
-    backoff.send_began(back_us);
-    expect_that!(backoff.holds(back_us + 1), eq(true), "one is on trial");
-    expect_that!(backoff.send_ended(true, back_us + 2), eq(true));
-    expect_that!(backoff.holds(back_us + 3), eq(false));
-    backoff.send_began(back_us + 3);
-    expect_that!(backoff.holds(back_us + 4), eq(false), "it is used as any other");
+    let resume_us = 13 * US_PER_S + US_PER_S / 2;
+    expect_that!(backoff.holds(resume_us), eq(false));
+    backoff.send_began(resume_us);
+    expect_that!(backoff.holds(resume_us + 1), eq(true), "the trial request blocks other sends");
+    expect_that!(backoff.send_ended(true, resume_us + 2), eq(true));
+    expect_that!(backoff.holds(resume_us + 3), eq(false));
+    backoff.send_began(resume_us + 3);
+    expect_that!(backoff.holds(resume_us + 4), eq(false), "no trial after the backoff has ended");
 }
 
 #[gtest]
-fn a_trial_that_did_not_run_or_never_ends_is_followed_by_another() {
+fn a_trial_request_that_fails_or_never_ends_is_followed_by_another() {
     let mut backoff = Backoff::default();
     backoff.asked(US_PER_S, 0, 0);
     backoff.send_began(US_PER_S);
@@ -85,20 +85,20 @@
     expect_that!(backoff.holds(US_PER_S + 2), eq(false));
     backoff.send_began(US_PER_S + 2);
     expect_that!(backoff.holds(US_PER_S + 3), eq(true));
-    expect_that!(backoff.holds(2 * US_PER_S), eq(false), "its caller left, perhaps");
+    expect_that!(backoff.holds(2 * US_PER_S), eq(false), "the trial request timed out");
 }
 
 #[gtest]
-fn a_request_that_was_sent_before_and_ends_well_takes_nothing_back() {
+fn a_request_sent_before_the_backoff_does_not_end_it() {
     let mut backoff = Backoff::default();
     backoff.asked(3 * US_PER_S, 0, US_PER_S);
     expect_that!(backoff.send_ended(true, 2 * US_PER_S), eq(false));
     expect_that!(backoff.holds(3 * US_PER_S), eq(true));
 }
 
-/// Words that come in any order, each of any length: none is cut short by a later one.
+/// Random backoffs, sends and results: a later backoff never shortens an earlier one.
 #[gtest]
-fn no_send_begins_before_the_end_of_any_time_asked_for() {
+fn no_request_is_sent_before_the_end_of_any_requested_backoff() {
     for seed in 0..2_000 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let (mut backoff, mut now_us, mut until_us) = (Backoff::default(), 1, 0);
@@ -121,9 +121,9 @@
     }
 }
 
-/// Bytes of any kind, those of numbers the most: nothing panics, and nothing is asked for longer than an hour.
+/// Random values, mostly of the characters of numbers.
 #[gtest]
-fn no_value_panics_or_asks_for_more_than_an_hour() {
+fn random_values_neither_panic_nor_exceed_an_hour() {
     let mut rng = SmallRng::seed_from_u64(1);
     for _ in 0..200_000 {
         let length = rng.random_range(0..24);
