--- a/crates/pointvane-core/src/account.rs
+++ b/crates/pointvane-core/src/account.rs
@@ -1,7 +1,8 @@
-//! Client accounts: whose keys callers present, how urgent their requests are, and how many they may send.
+//! Client accounts: API keys, request priority, quota and allowed regions.
 //!
-//! Keys exist here as digests only, so that neither memory, logs nor messages between nodes give one away. An adapter digests
-//! the keys that a platform publishes, a node those that callers present. Tests: `tests/account.rs`.
+//! Keys are kept as digests only, so that memory, logs and messages between nodes never contain one. The
+//! platform adapter digests the keys that a platform publishes; the node digests the keys that callers
+//! present. Tests: `tests/account.rs`.
 
 use {
     crate::{Name, PER_1000_S},
@@ -11,27 +12,27 @@
     subtle::ConstantTimeEq,
 };
 
-/// Bytes of a digest.
+/// Length of a SHA-256 digest in bytes.
 const DIGEST_BYTES: usize = 32;
-/// Microseconds in a second.
+/// Microseconds per second.
 const US_PER_S: f64 = 1e6;
 
-/// The SHA-256 digest of a key.
+/// SHA-256 digest of an API key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 
-    /// Whether both are digests of one key; takes the same time wherever they differ.
+    /// Compares two digests in constant time.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
 
-    /// The part by which digests are looked up.
+    /// First 8 bytes, big-endian: the lookup key for tables of digests.
     pub fn prefix(&self) -> u64 {
         self.0.iter().take(size_of::<u64>()).fold(0, |prefix, byte| prefix << u8::BITS | u64::from(*byte))
     }
@@ -43,32 +44,32 @@
     }
 }
 
-/// One client account.
+/// Settings of one client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountRule {
-    /// The account's name, which upstreams are told.
+    /// Account name, which is forwarded to upstreams.
     pub name: Name,
-    /// The keys that it holds.
+    /// Digests of the account's keys.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests, in place of their routes'; none if theirs holds.
+    /// Priority of its requests, which overrides that of their routes; `None` keeps the route's priority.
     pub priority: Option<u32>,
-    /// The most requests that it may send; none if that is not limited.
+    /// Request quota; `None` means unlimited.
     pub quota: Option<Quota>,
-    /// The only regions whose upstreams may serve it; empty if all may.
+    /// Regions whose upstreams may serve the account; empty allows all regions.
     pub allowed_regions: Vec<Name>,
 }
 
-/// How many requests an account may send through all nodes together.
+/// Fleet-wide request quota of an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Requests in a thousand seconds.
+    /// Sustained rate, in requests per 1000 seconds.
     pub requests_per_1000_s: u64,
-    /// Requests on top of that in any window.
+    /// Requests allowed in any window in addition to the sustained rate.
     pub burst: u64,
 }
 
 impl Quota {
-    /// The most requests in a window of so many microseconds.
+    /// Maximum number of requests in a window of `window_us` microseconds.
     pub fn in_window(&self, window_us: u64) -> f64 {
         let rate_per_s = self.requests_per_1000_s as f64 / PER_1000_S;
         rate_per_s * window_us as f64 / US_PER_S + self.burst as f64
--- a/crates/pointvane-core/src/adapter.rs
+++ b/crates/pointvane-core/src/adapter.rs
@@ -1,79 +1,81 @@
-//! The interface to a platform: names of headers, targets of calls, and the decoding of answers.
+//! Interface to a platform: header names, request targets and decoding of responses.
 //!
-//! An adapter translates between a platform's formats and the types of this crate. It does no I/O and decides nothing.
+//! An adapter translates between a platform's formats and the types of this crate. It does no I/O and makes
+//! no routing decisions.
 
 use {
     crate::{ChangePage, MalformedReply, Name, UpstreamLoad},
     std::net::SocketAddr,
 };
 
-/// A caller's lookup in the directory.
+/// A caller's query to the directory of entry addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryQuestion {
-    /// The caller's data centre, if it names one.
+    /// The caller's data centre, if the query names one.
     pub data_centre: Option<Name>,
 }
 
-/// Names of the headers between callers, pointvane and upstreams, in lower case.
+/// Names of the HTTP headers between callers, pointvane and upstreams, in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Identity of one attempt of a caller; an answer repeats it.
+    /// Identifies one attempt of a caller; the response repeats it.
     pub request_id: &'static str,
-    /// Time that the sender will still wait, in milliseconds.
+    /// Remaining time for which the sender waits, in milliseconds.
     pub deadline_ms: &'static str,
-    /// The upstream that alone may run the request.
+    /// The only upstream that may run the request.
     pub expect_upstream: &'static str,
     /// An upstream's load report.
     pub load: &'static str,
-    /// Set by an upstream that did not run the request.
+    /// Present on a response if the upstream did not run the request.
     pub not_run: &'static str,
-    /// The upstream's identity.
+    /// Identity of the upstream.
     pub upstream: &'static str,
-    /// How much longer an upstream is cold, in milliseconds, in its answers to probes.
+    /// Remaining warm-up time of an upstream in milliseconds, in its responses to probes.
     pub warm_up_left_ms: &'static str,
-    /// Set by an upstream that is leaving, in all its answers.
+    /// Present on all responses of an upstream that is shutting down.
     pub leaving: &'static str,
-    /// Requests a second that an upstream takes from all nodes together, in its answers.
+    /// Requests per second that an upstream accepts from all nodes together, in its responses.
     pub request_limit: &'static str,
-    /// Name of the client account whose key a request carried, towards upstreams.
+    /// Name of the client account whose key the request carried, in requests to upstreams.
     pub account: &'static str,
 }
 
-/// How new a read of everything must be.
+/// Required freshness of a full read of the platform's data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadFreshness {
-    /// It holds all that was published before the call.
+    /// The read contains everything that was published before the call.
     Newest,
-    /// It may lack what was published in the last seconds, if the platform serves such reads more cheaply.
+    /// The read may lack the last seconds of changes, if the platform serves such reads more cheaply.
     MayBeStale,
 }
 
-/// Translation between a platform's formats and the product's own types; it decides nothing.
+/// Translates between a platform's formats and the types of this crate.
 pub trait PlatformAdapter {
-    /// Names of the headers.
+    /// Header names that the platform uses.
     fn headers(&self) -> HeaderNames;
-    /// Target of the call that reads what is published, from the given place of an earlier page on.
+    /// Request target that reads a snapshot, starting at `next_page` of an earlier page if given.
     fn snapshot_target(&self, next_page: Option<&str>, freshness: ReadFreshness) -> String;
-    /// Decodes the answer to that call.
+    /// Decodes the response to a request to [`Self::snapshot_target`].
     ///
     /// # Errors
-    /// When it cannot be understood at all.
+    /// [`MalformedReply`] when the response as a whole cannot be decoded. Single items that cannot be decoded
+    /// are listed in the page.
     fn snapshot(&self, body: &[u8]) -> Result<ChangePage, MalformedReply>;
-    /// Target of the call that waits for changes after a revision.
+    /// Request target that waits up to `wait_ms` milliseconds for changes after revision `after`.
     fn watch_target(&self, after: u64, wait_ms: u64) -> String;
-    /// Decodes the answer to that call.
+    /// Decodes the response to a request to [`Self::watch_target`].
     ///
     /// # Errors
-    /// When it cannot be understood at all.
+    /// [`MalformedReply`] when the response as a whole cannot be decoded.
     fn changes(&self, body: &[u8]) -> Result<ChangePage, MalformedReply>;
-    /// Decodes a request to the directory; none if it is no lookup.
+    /// Decodes a directory query from a request's path and query string; `None` if it is not one.
     fn directory_question(&self, path: &str, query: &str) -> Option<DirectoryQuestion>;
-    /// Encodes the directory's answer; callers may keep it for `keep_s` seconds.
+    /// Encodes the directory's response, which callers may cache for `keep_s` seconds.
     fn directory_answer(&self, addresses: &[SocketAddr], keep_s: u64) -> String;
-    /// Decodes an upstream's load header; none if it cannot be understood.
+    /// Decodes the value of an upstream's load header; `None` if it is malformed.
     fn load(&self, text: &str) -> Option<UpstreamLoad>;
-    /// The key that a request's authorization carries; none if it is of another kind.
+    /// Extracts the API key from the value of the `Authorization` header; `None` if it uses another scheme.
     fn key<'v>(&self, authorization: &'v [u8]) -> Option<&'v [u8]>;
-    /// Whether a value of the header on leaving says that the upstream leaves.
+    /// Whether a value of the [`HeaderNames::leaving`] header says that the upstream is shutting down.
     fn is_leaving(&self, value: &[u8]) -> bool;
 }
--- a/crates/pointvane-core/src/evacuation.rs
+++ b/crates/pointvane-core/src/evacuation.rs
@@ -1,17 +1,18 @@
-//! Evacuation of a data centre: operators ask that its upstreams get no new work, for as long as the request stands.
+//! Evacuation of a data centre: operators withhold new requests from all of its upstreams.
 
 use {
     crate::Name,
     serde::{Deserialize, Serialize},
 };
 
-/// Whether a data centre is to be empty, as the platform published it last.
+/// Evacuation state of a data centre, as last published by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
     /// The data centre.
     pub data_centre: Name,
-    /// Whether its upstreams get no new work; false once that was taken back.
+    /// Whether its upstreams get no new requests; false once the evacuation has been cancelled.
     pub active: bool,
-    /// The platform's revision at which this was published, or found to be gone; a smaller one is older.
+    /// Revision of the platform at which the evacuation was published or found to be removed; larger is
+    /// newer.
     pub revision: u64,
 }
--- a/crates/pointvane-core/src/published.rs
+++ b/crates/pointvane-core/src/published.rs
@@ -1,4 +1,4 @@
-//! What a platform publishes and upstreams report: entries of upstreams, changes, pages of changes, load.
+//! Data that a platform publishes (upstream entries and pages of changes) and that upstreams report (load).
 
 use {
     crate::{Evacuation, Name, RoutingConfiguration, RoutingDelta},
@@ -6,30 +6,31 @@
     std::net::SocketAddr,
 };
 
-/// One upstream as the platform lists it.
+/// An upstream's entry, as published by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamRecord {
-    /// Identity of the upstream; it keeps it when it starts again.
+    /// Identity of the upstream, which is kept across restarts.
     pub id: Name,
-    /// When this life of it began, in milliseconds since 1970; none if its entry does not say so.
+    /// Start time of this incarnation, in milliseconds since the Unix epoch; `None` if the entry has none.
     pub born_ms: Option<u64>,
     /// The service it belongs to.
     pub service: Name,
-    /// Where it serves.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// The data centre it is in.
     pub data_centre: Name,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is draining and must get no new work.
+    /// Whether it is draining and gets no new requests.
     pub draining: bool,
-    /// How much longer it is slow from its start, in milliseconds.
+    /// Remaining warm-up time, in milliseconds.
     pub warm_up_left_ms: u64,
-    /// Number of the updates in this life of the upstream; an entry with a smaller one is older.
+    /// Sequence number of the update within this incarnation; larger is newer.
     pub sequence: u64,
 }
 
-/// The place of an entry among all of its upstream: by lives, and by updates within one. An entry that names no start is older than all that do.
+/// Orders the entries of one upstream from oldest to newest: by start time, then by sequence number. An entry
+/// without a start time is older than every entry with one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EntryAge {
     born_ms: Option<u64>,
@@ -37,28 +38,28 @@
 }
 
 impl UpstreamRecord {
-    /// The place of this entry among all of its upstream.
+    /// Position of this entry in the order of all entries of its upstream.
     pub fn age(&self) -> EntryAge {
         EntryAge { born_ms: self.born_ms, sequence: self.sequence }
     }
 }
 
-/// One change of what a platform publishes.
+/// A change of the data that a platform publishes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A configuration was published.
     Configuration(Box<RoutingConfiguration>),
-    /// Configurations were published, of which a peer told only what changed: each delta leads on from the one before.
+    /// Configurations were published; a peer sent them as consecutive deltas.
     ConfigurationDeltas(Vec<RoutingDelta>),
     /// An upstream appeared or changed.
     Upstream(UpstreamRecord),
-    /// An upstream's entry was removed, or it expired.
+    /// An upstream's entry was removed or has expired.
     UpstreamGone(Name),
-    /// A data centre is to be empty, or no longer.
+    /// An evacuation of a data centre began or was cancelled.
     Evacuation(Evacuation),
 }
 
-/// The entry that a change is about: a later change of the same entry replaces an earlier one.
+/// Identifies the entry that a change applies to: a later change of an entry replaces an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum EntryKey {
     /// The entry of an upstream, by its identity.
@@ -68,7 +69,8 @@
 }
 
 impl Change {
-    /// The entry that it is about; none for configurations, which are told apart by their versions.
+    /// The entry that this change applies to; `None` for configurations, which are identified by their
+    /// versions.
     pub fn entry(&self) -> Option<EntryKey> {
         match self {
             Self::Upstream(record) => Some(EntryKey::Upstream(record.id.clone())),
@@ -78,7 +80,8 @@
         }
     }
 
-    /// The change by which this one's entry is gone, as of a revision; none if this one lists no entry.
+    /// The change that removes this change's entry as of a revision; `None` if this change adds or updates
+    /// none.
     pub fn removal(&self, revision: u64) -> Option<Self> {
         match self {
             Self::Upstream(record) => Some(Self::UpstreamGone(record.id.clone())),
@@ -91,40 +94,41 @@
     }
 }
 
-/// A part of what is published at one moment, or of what changed.
+/// One page of a snapshot or of a list of changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChangePage {
     /// The changes, oldest first.
     pub changes: Vec<Change>,
     /// Revision up to which the page is complete.
     pub revision: u64,
-    /// Where the next page begins, if there is one.
+    /// Position of the next page; `None` on the last page.
     pub next_page: Option<String>,
-    /// Items that could not be understood and were left out.
+    /// Items that were skipped because they could not be decoded.
     pub refused: Vec<RefusedItem>,
-    /// Parts of a configuration that could not be understood, each of which is taken for what can do no harm; the rest of it holds.
+    /// Parts of a configuration that could not be decoded. Each is replaced by a safe default; the rest of
+    /// the configuration applies.
     pub refused_parts: Vec<RefusedItem>,
 }
 
-/// An item that could not be understood.
+/// An item that could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RefusedItem {
-    /// Its key.
+    /// Key of the item.
     pub key: String,
-    /// What part of it cannot be understood, for counters.
+    /// The invalid part, for counters.
     pub fault: ItemFault,
-    /// What is wrong with it.
+    /// Description of the problem.
     pub problem: String,
 }
 
-/// The part of an item that cannot be understood.
+/// The invalid part of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ItemFault {
     /// The encoding of its value.
     Encoding,
-    /// The form of its value: a field is missing or of another type.
+    /// The structure of its value: a field is missing or has the wrong type.
     Form,
-    /// A version.
+    /// A configuration's version.
     Version,
     /// A route.
     Route,
@@ -135,7 +139,7 @@
 }
 
 impl ItemFault {
-    /// Its name in metrics.
+    /// Label value in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Encoding => "encoding",
@@ -148,19 +152,19 @@
     }
 }
 
-/// An answer of the platform that cannot be understood at all; says why.
+/// A response of the platform that cannot be decoded, with the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MalformedReply(pub String);
 
-/// What an upstream reports of its own load.
+/// Load report of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamLoad {
-    /// Requests that it runs.
+    /// Requests being executed.
     pub running: u32,
-    /// Requests in its queue.
+    /// Queued requests.
     pub waiting: u32,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Latency of work now, in percent of the latency of uncontended work.
+    /// Current latency, in percent of the latency without contention.
     pub slowdown_percent: u32,
 }
--- a/crates/pointvane-core/src/routing.rs
+++ b/crates/pointvane-core/src/routing.rs
@@ -1,6 +1,7 @@
-//! Routing configuration of the node, in the product's own terms: routes, services, limits for callers.
+//! Routing configuration of the node: routes, services, client accounts and limits for callers.
 //!
-//! Owns nothing but the types; a platform's adapter makes them, and nodes pass them on to each other.
+//! These are data types only. A platform adapter creates them from what the platform publishes, and nodes
+//! forward them to each other.
 
 use {
     crate::{AccountRule, Name},
@@ -8,102 +9,103 @@
     std::sync::Arc,
 };
 
-/// One published configuration, whole.
+/// A complete published configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingConfiguration {
-    /// The operators' version; larger is newer.
+    /// Version assigned by the operators; larger is newer.
     pub version: u64,
-    /// The routes, in no order.
+    /// The routes, in no particular order.
     pub routes: Vec<Arc<RouteRule>>,
-    /// The services that routes name.
+    /// The services that routes refer to.
     pub services: Vec<ServiceRule>,
     /// Limits for callers.
     pub limits: CallerLimits,
-    /// The client accounts, in no order; none where callers need no key.
+    /// The client accounts, in no particular order; `None` if callers need no API key.
     pub accounts: Option<Vec<Arc<AccountRule>>>,
 }
 
-/// What a route's requests allow.
+/// How a route's requests may be repeated, and whether their bodies are large.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RouteKind {
     /// Requests may run more than once.
     Safe,
     /// Requests may run at most once.
     Unsafe,
-    /// Large bodies, to be treated like [`RouteKind::Unsafe`].
+    /// Requests with large bodies; otherwise like [`RouteKind::Unsafe`].
     Upload,
-    /// Large answers, to be treated like [`RouteKind::Safe`].
+    /// Requests with large responses; otherwise like [`RouteKind::Safe`].
     Download,
 }
 
 impl RouteKind {
-    /// Whether a request may be sent again after it may have run.
+    /// Whether a request that may have run can be sent again.
     pub const fn repeatable(self) -> bool {
         matches!(self, Self::Safe | Self::Download)
     }
 }
 
-/// Which requests go where, and how.
+/// A route: which requests it matches, the services that run them, and how.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteRule {
     /// The route's name, for logs and metrics.
     pub name: Name,
-    /// The `Host` it serves, without port.
+    /// `Host` that it matches, without port.
     pub host: Name,
-    /// Prefix of the path; the longest that matches wins.
+    /// Path prefix that it matches; the longest matching prefix takes precedence.
     pub path_prefix: Name,
-    /// What its requests allow.
+    /// Kind of its requests.
     pub kind: RouteKind,
-    /// Longest time a request may be held, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which callers want the answer, in milliseconds.
+    /// Target latency, in milliseconds.
     pub target_latency_ms: u64,
-    /// Most upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     pub attempts_max: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// The services that share its requests; empty if the entry names none, so that none can serve them.
+    /// The services that share its requests. Empty if the published entry names none; its requests cannot be
+    /// served then.
     pub backends: Vec<WeightedService>,
-    /// Whether callers need no key, though there are client accounts.
+    /// Whether callers need no API key even if client accounts are configured.
     pub public: bool,
-    /// The only regions whose upstreams may serve it; empty if all may.
+    /// Regions whose upstreams may serve it; empty allows all regions.
     pub allowed_regions: Vec<Name>,
 }
 
-/// A service's share of a route.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: Name,
-    /// Its share, relative to the others'.
+    /// Weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// What is published of a service.
+/// Settings of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRule {
     /// The service's name.
     pub name: Name,
-    /// Path on which its upstreams report their health and load.
+    /// Path of its upstreams' health and load reports.
     pub health_path: Name,
-    /// Requests in a thousand seconds that a cold upstream bears; 0 where that is not limited.
+    /// Rate that an upstream can take during warm-up, in requests per 1000 seconds; 0 means unlimited.
     pub cold_requests_per_1000_s: u64,
 }
 
 /// Limits for callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes_max: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes_max: u64,
-    /// Longest time for a whole head, in milliseconds.
+    /// Time within which a request head must be complete, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest idle time of a kept connection, in milliseconds.
+    /// Maximum idle time of a keep-alive connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
-/// Limits while no configuration is known.
+/// Limits that apply while no configuration is known.
 impl Default for CallerLimits {
     fn default() -> Self {
         Self {
--- a/crates/pointvane-core/src/routing_delta.rs
+++ b/crates/pointvane-core/src/routing_delta.rs
@@ -1,7 +1,8 @@
-//! What changed from one routing configuration to the next: what nodes send each other in place of a whole configuration.
+//! Differences between routing configurations, which nodes send to each other in place of complete
+//! configurations.
 //!
-//! A change of one route of thousands then costs some hundred bytes. Routes and client accounts are told apart by name. Tests:
-//! `tests/routing_delta.rs`.
+//! A change of one route out of thousands then takes a few hundred bytes. Routes and client accounts are
+//! identified by name. Tests: `tests/routing_delta.rs`.
 
 use {
     crate::{AccountRule, CallerLimits, Name, RouteRule, RoutingConfiguration, ServiceRule},
@@ -9,49 +10,50 @@
     std::{collections::HashMap, sync::Arc},
 };
 
-/// What changed from one configuration to a later one.
+/// Difference between two versions of the routing configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingDelta {
-    /// Version of the configuration that it is applied to.
+    /// Version of the configuration that the delta applies to.
     pub from_version: u64,
-    /// Version of the configuration that it leads to.
+    /// Version of the resulting configuration.
     pub to_version: u64,
-    /// Routes that are new or changed.
+    /// Added and changed routes.
     pub changed: Vec<Arc<RouteRule>>,
-    /// Names of routes that are gone.
+    /// Names of removed routes.
     pub removed: Vec<Name>,
-    /// All services.
+    /// All services of the resulting configuration.
     pub services: Vec<ServiceRule>,
-    /// Limits for callers.
+    /// Limits for callers of the resulting configuration.
     pub limits: CallerLimits,
-    /// Routes of the configuration that it leads to, as a check.
+    /// Number of routes in the resulting configuration, as a check.
     pub routes: usize,
-    /// What changed of the client accounts.
+    /// Changes of the client accounts.
     pub accounts: AccountsDelta,
 }
 
-/// What changed of the client accounts.
+/// Changes of the client accounts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AccountsDelta {
-    /// There are no accounts: callers need no key.
+    /// There are no accounts: callers need no API key.
     Absent,
-    /// There are accounts, of which these changed.
+    /// There are accounts, with these changes.
     Present {
-        /// Accounts that are new or changed.
+        /// Added and changed accounts.
         changed: Vec<Arc<AccountRule>>,
-        /// Names of accounts that are gone.
+        /// Names of removed accounts.
         removed: Vec<Name>,
-        /// Accounts of the configuration that it leads to, as a check.
+        /// Number of accounts in the resulting configuration, as a check.
         accounts: usize,
     },
 }
 
 impl AccountsDelta {
-    /// What changed between the accounts of two configurations; none if they cannot be told apart by name.
+    /// Computes the changes between the accounts of two configurations; `None` if account names are not
+    /// unique.
     fn between(from: Option<&[Arc<AccountRule>]>, to: Option<&[Arc<AccountRule>]>) -> Option<Self> {
         let Some(to) = to else { return Some(Self::Absent) };
-        let old = by_name(from.unwrap_or_default(), |account| &account.name)?;
-        let new = by_name(to, |account| &account.name)?;
+        let old = index_by_name(from.unwrap_or_default(), |account| &account.name)?;
+        let new = index_by_name(to, |account| &account.name)?;
         let changed = to.iter().filter(|account| old.get(&account.name) != Some(account));
         let removed = old.keys().filter(|name| !new.contains_key(**name));
         Some(Self::Present {
@@ -77,8 +79,8 @@
         }
     }
 
-    /// Accounts that it changes or removes.
-    fn touched(&self) -> usize {
+    /// Number of accounts that are added, changed or removed.
+    fn change_count(&self) -> usize {
         match self {
             Self::Absent => 0,
             Self::Present { changed, removed, .. } => changed.len() + removed.len(),
@@ -86,22 +88,23 @@
     }
 }
 
-/// Why a delta cannot be applied to a configuration.
+/// Reasons for which a delta cannot be applied to a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeltaMismatch {
-    /// It is for another version.
+    /// The delta applies to another version.
     Version,
-    /// It does not lead to as many routes as it says.
+    /// The result does not have the expected number of routes.
     Routes,
-    /// It does not lead to as many client accounts as it says.
+    /// The result does not have the expected number of client accounts.
     Accounts,
 }
 
 impl RoutingDelta {
-    /// What changed between two configurations; none if their routes or client accounts cannot be told apart by name.
+    /// Computes the delta between two configurations; `None` if the names of their routes or client accounts
+    /// are not unique.
     pub fn between(from: &RoutingConfiguration, to: &RoutingConfiguration) -> Option<Self> {
-        let old = by_name(&from.routes, |route| &route.name)?;
-        let new = by_name(&to.routes, |route| &route.name)?;
+        let old = index_by_name(&from.routes, |route| &route.name)?;
+        let new = index_by_name(&to.routes, |route| &route.name)?;
         let changed = to.routes.iter().filter(|route| old.get(&route.name) != Some(route));
         let removed = from.routes.iter().filter(|route| !new.contains_key(&route.name));
         Some(Self {
@@ -116,10 +119,10 @@
         })
     }
 
-    /// The configuration that deltas lead to, each from the one before; one pass over its routes.
+    /// Applies consecutive deltas to `base`. The routes are copied once, however many deltas there are.
     ///
     /// # Errors
-    /// When one of them does not fit the configuration that it is applied to.
+    /// A [`DeltaMismatch`] when a delta does not match the configuration that it is applied to.
     pub fn apply(deltas: &[Self], base: RoutingConfiguration) -> Result<RoutingConfiguration, DeltaMismatch> {
         let Some(last) = deltas.last() else { return Ok(base) };
         let mut version = base.version;
@@ -149,14 +152,15 @@
         if routes.len() == self.routes { Ok(()) } else { Err(DeltaMismatch::Routes) }
     }
 
-    /// Routes and client accounts that it changes or removes: a measure of its size.
+    /// Number of routes and client accounts that are added, changed or removed, as a measure of the delta's
+    /// size.
     pub fn touched(&self) -> usize {
-        self.changed.len() + self.removed.len() + self.accounts.touched()
+        self.changed.len() + self.removed.len() + self.accounts.change_count()
     }
 }
 
-/// Items by their names; none if two have the same.
-fn by_name<T>(items: &[Arc<T>], name: impl Fn(&T) -> &Name) -> Option<HashMap<&Name, &Arc<T>>> {
-    let named: HashMap<_, _> = items.iter().map(|item| (name(item), item)).collect();
-    (named.len() == items.len()).then_some(named)
+/// Indexes items by name; `None` if names are not unique.
+fn index_by_name<T>(items: &[Arc<T>], name: impl Fn(&T) -> &Name) -> Option<HashMap<&Name, &Arc<T>>> {
+    let index: HashMap<_, _> = items.iter().map(|item| (name(item), item)).collect();
+    (index.len() == items.len()).then_some(index)
 }
--- a/crates/pointvane-core/tests/account.rs
+++ b/crates/pointvane-core/tests/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts: digests of keys and quotas.
+//! Tests of client accounts: key digests and quotas.
 
 use {
     googletest::prelude::*,
@@ -6,7 +6,7 @@
 };
 
 #[gtest]
-fn only_the_same_key_matches() {
+fn digests_match_only_for_equal_keys() {
     let digest = KeyDigest::of(b"492cqf75rjvz48wuakn2");
     expect_that!(digest.matches(&KeyDigest::of(b"492cqf75rjvz48wuakn2")), eq(true));
     expect_that!(digest.matches(&KeyDigest::of(b"492cqf75rjvz48wuakn3")), eq(false));
@@ -14,12 +14,12 @@
 }
 
 #[gtest]
-fn a_digest_shows_nothing_of_its_key_in_logs() {
+fn debug_output_of_a_digest_hides_it() {
     expect_that!(format!("{:?}", KeyDigest::of(b"secret")), eq("KeyDigest(..)"));
 }
 
 #[gtest]
-fn a_window_holds_the_rate_and_the_burst() {
+fn quota_of_a_window_is_its_rate_plus_the_burst() {
     let quota = Quota { requests_per_1000_s: 1_500, burst: 4 };
     expect_that!(quota.in_window(5_000_000), eq(11.5));
 }
--- a/crates/pointvane-core/tests/routing_delta.rs
+++ b/crates/pointvane-core/tests/routing_delta.rs
@@ -1,4 +1,4 @@
-//! What nodes send each other of a configuration that changed.
+//! Tests of deltas between routing configurations.
 
 use {
     googletest::prelude::*,
@@ -31,14 +31,14 @@
     RoutingConfiguration { version, routes, services, limits: CallerLimits::default(), accounts: None }
 }
 
-/// Routes by name, since their order means nothing.
+/// Sorts the routes by name, since their order is not significant.
 fn sorted(mut configuration: RoutingConfiguration) -> RoutingConfiguration {
     configuration.routes.sort_by(|one, other| one.name.cmp(&other.name));
     configuration
 }
 
 #[gtest]
-fn a_delta_leads_to_the_same_configuration() {
+fn applying_a_delta_yields_the_new_configuration() {
     let old = configuration(4, vec![route("a", 1), route("b", 1), route("c", 1)]);
     let mut new = configuration(7, vec![route("a", 1), route("b", 2), route("d", 1)]);
     new.limits.body_bytes_max = 5;
@@ -48,13 +48,13 @@
         cold_requests_per_1000_s: 0,
     });
     let delta = RoutingDelta::between(&old, &new).unwrap();
-    expect_that!(delta.changed.len(), eq(2), "what is the same is not sent");
+    expect_that!(delta.changed.len(), eq(2), "unchanged routes are not part of the delta");
     expect_that!(delta.touched(), eq(3));
     expect_that!(RoutingDelta::apply(&[delta], old).map(sorted), ok(eq(&sorted(new))));
 }
 
 #[gtest]
-fn a_delta_is_not_applied_to_another_configuration() {
+fn a_delta_is_rejected_by_another_configuration() {
     let old = configuration(4, vec![route("a", 1), route("b", 1)]);
     let new = configuration(7, vec![route("a", 1)]);
     let delta = RoutingDelta::between(&old, &new).unwrap();
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn routes_that_share_a_name_have_no_delta() {
+fn there_is_no_delta_for_duplicate_route_names() {
     let old = configuration(4, vec![route("a", 1)]);
     let new = configuration(7, vec![route("a", 1), route("a", 2)]);
     expect_that!(RoutingDelta::between(&old, &new), none());
@@ -95,7 +95,7 @@
 }
 
 #[gtest]
-fn a_delta_holds_only_the_accounts_that_changed() {
+fn a_delta_contains_only_changed_accounts() {
     let old =
         with_accounts(4, Some(vec![account("a", &["1"], 1), account("b", &["2"], 1), account("c", &[], 1)]));
     let new = with_accounts(
@@ -108,7 +108,7 @@
 }
 
 #[gtest]
-fn accounts_come_and_go_altogether() {
+fn all_accounts_can_be_added_and_removed() {
     let none = with_accounts(4, None);
     let empty = with_accounts(5, Some(Vec::new()));
     let some = with_accounts(6, Some(vec![account("a", &["1"], 1)]));
@@ -122,7 +122,7 @@
 }
 
 #[gtest]
-fn a_delta_of_accounts_is_not_applied_to_others() {
+fn a_delta_of_accounts_is_rejected_by_other_accounts() {
     let old = with_accounts(4, Some(vec![account("a", &["1"], 1), account("b", &["2"], 1)]));
     let new = with_accounts(5, Some(vec![account("a", &["1"], 1)]));
     let delta = RoutingDelta::between(&old, &new).unwrap();
