--- a/crates/pointvane-core/src/error.rs
+++ b/crates/pointvane-core/src/error.rs
@@ -1,15 +1,15 @@
-//! The closed list of error kinds and the one table from kind to answer.
+//! Error kinds and the table that maps each one to its HTTP response.
 
 use std::fmt;
 
-/// What a caller may conclude about the work it asked for.
+/// What a response tells the caller about the execution of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The upstream's whole answer follows.
+    /// The response is the upstream's.
     Answered,
-    /// No byte of the request reached an upstream, and none ever will.
+    /// The request has not run and will not run: no byte of it has reached an upstream or will reach one.
     NotRun,
-    /// The work may or may not have run.
+    /// The request may or may not have run.
     Unknown,
 }
 
@@ -24,69 +24,72 @@
     }
 }
 
-/// Every reason for which the system itself answers in place of an upstream.
+/// Reasons for which pointvane itself responds in place of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ErrorKind {
-    /// The request's head cannot be understood.
+    /// The request's head is malformed.
     BadRequest,
     /// No service is configured for this host and path.
     NoSuchService,
-    /// Non-repeatable work came without an idempotency key.
+    /// A request that must not be repeated has no idempotency key.
     KeyMissing,
     /// The idempotency key is malformed.
     KeyInvalid,
-    /// The key's life is over, or longer than any; whether it ran is not known here.
+    /// The key has expired, or its lifetime exceeds the maximum; whether its request ran is not known.
     KeyExpired,
-    /// The incarnation that alone may run this key is gone or cannot be reached.
+    /// The only incarnation that may run this key is gone or unreachable.
     KeyOwnerGone,
-    /// No more keys can be remembered; nothing keeps a late copy of this one from running.
+    /// The key table is full, so a late duplicate of this request could not be detected.
     KeysFull,
-    /// The key ran, and its answer was too large or too old to be kept.
+    /// The key's request ran, but its response was too large or too old to be stored.
     AnswerNotKept,
-    /// The queue is full or too slow for the deadline.
+    /// The queue is full, or the wait in it would exceed the deadline.
     Overloaded,
-    /// The deadline passed before the work was sent.
+    /// The deadline passed before the request was sent to an upstream.
     DeadlinePassed,
-    /// No upstream of the service may receive work now.
+    /// No upstream of the service is eligible for requests.
     NoUpstream,
-    /// No connection to the chosen upstreams could be made.
+    /// No connection to the selected upstreams could be established.
     UpstreamUnreachable,
-    /// The upstream took the request and gave no whole head of an answer.
+    /// The upstream received the request and sent no complete response head.
     UpstreamBroken,
-    /// The upstream took the request and did not answer within the deadline.
+    /// The upstream received the request and did not respond before the deadline.
     UpstreamTimeout,
-    /// The entry VM is stopping as planned.
+    /// The entry VM is shutting down gracefully.
     Stopping,
-    /// The entry VM holds no configuration yet.
+    /// The entry VM has no configuration yet.
     NotReady,
-    /// All upstreams that could run the work are in data centres that operators are emptying.
+    /// All upstreams that could run the request are in data centres under evacuation.
     Evacuated,
-    /// Upstreams crash under this request. No time to retry is told, since it would crash more.
+    /// The request is quarantined because it crashes upstreams. The response has no `Retry-After`, because a
+    /// retry would crash more of them.
     RequestQuarantined,
-    /// All upstreams that could run the work have asked for no requests for a time, or are unusable for other reasons.
+    /// All upstreams that could run the request are backing off, or are unusable for other reasons.
     UpstreamsBackingOff,
-    /// The route needs a key of a client account, and the request carries none that is known.
+    /// The route requires an API key of a client account, and the request has none or an unknown one.
     Unauthorized,
     /// The client account has used up its quota.
     QuotaExceeded,
-    /// Keys may have been taken away since this node last learned of them, and the deployment wants none served then.
+    /// The node's list of keys is out of date, so keys may have been revoked, and the deployment is
+    /// configured to fail closed.
     AccountsUnconfirmed,
-    /// All upstreams that could run the work get as many requests as their limits allow, or are unusable for other reasons.
+    /// All upstreams that could run the request are at their request limits, or are unusable for other
+    /// reasons.
     UpstreamsLimited,
 }
 
-/// One row of the table: how an [`ErrorKind`] is answered.
+/// HTTP response to one [`ErrorKind`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerRow {
-    /// The kind this row answers.
+    /// The error kind.
     pub kind: ErrorKind,
     /// Value of the `pointvane-error` header.
     pub name: &'static str,
     /// HTTP status code.
     pub status: u16,
-    /// What the caller may conclude.
+    /// Value of the `pointvane-outcome` header.
     pub outcome: Outcome,
-    /// Whether the answer carries `Retry-After`.
+    /// Whether the response has a `Retry-After` header.
     pub retry_after: bool,
 }
 
@@ -127,12 +130,12 @@
 ];
 
 impl ErrorKind {
-    /// The whole table, in the order of the list.
+    /// All rows, in the order of the variants of [`ErrorKind`].
     pub const fn table() -> &'static [AnswerRow] {
         &TABLE
     }
 
-    /// How this kind is answered.
+    /// The response to this kind.
     pub const fn answer(self) -> &'static AnswerRow {
         &TABLE[self as usize]
     }
--- a/crates/pointvane-core/src/identity.rs
+++ b/crates/pointvane-core/src/identity.rs
@@ -1,16 +1,16 @@
-//! Names of things and identities of VMs.
+//! Names, and identities and states of VMs.
 
 use {
     serde::{Deserialize, Serialize},
     std::{borrow::Borrow, fmt, net::IpAddr, sync::Arc},
 };
 
-/// A shared immutable name: of a service, an upstream, a VM or a data centre.
+/// Name of a service, upstream, VM, data centre, route, account or region; cheap to clone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Name(Arc<str>);
 
 impl Name {
-    /// The name's text.
+    /// The name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -40,9 +40,9 @@
     }
 }
 
-/// One life of a process: larger for each later start under the same name.
+/// Incarnation number of a process, which grows with each start under the same name.
 ///
-/// Source: the wall clock in milliseconds at the start, so that no stored state is needed.
+/// It is the wall-clock time of the start in milliseconds, so that no state has to be stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -52,28 +52,28 @@
     }
 }
 
-/// A VM in one of its lives.
+/// One incarnation of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VmIdentity {
     /// The VM's name, unique in the fleet.
     pub name: Name,
-    /// The data centre the VM is in.
+    /// The VM's data centre.
     pub data_centre: Name,
-    /// The VM's IP number.
+    /// The VM's IP address.
     pub address: IpAddr,
-    /// Which life of the VM this is.
+    /// The VM's incarnation.
     pub incarnation: Incarnation,
 }
 
-/// What is believed of a VM or upstream.
+/// Membership state of a VM or upstream, as known to the local process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum VmState {
-    /// It answers.
+    /// Responds to health checks.
     Live,
-    /// It missed a check and may be paused, cut off or dead.
+    /// Missed a check: may be paused, partitioned or dead.
     Suspect,
-    /// It is stopping as planned: nothing new goes to it.
+    /// Is shutting down gracefully and gets no new requests.
     Leaving,
-    /// It is gone.
+    /// Has failed or left.
     Dead,
 }
--- a/crates/pointvane-core/src/key.rs
+++ b/crates/pointvane-core/src/key.rs
@@ -1,46 +1,47 @@
-//! The idempotency key of work that may not be repeated.
+//! Idempotency keys of requests that must not be repeated.
 //!
-//! Shape: `<vm>.<incarnation hex>.<expiry_ms hex>.<caller's part>`. The first three parts come from locate;
-//! the caller adds a part of its own that it never uses twice. The key thus names the one incarnation of the
-//! one entry VM that may run the work, and until when.
+//! Format: `<vm>.<incarnation hex>.<expiry_ms hex>.<caller's part>`. The locate program issues the first
+//! three parts; the caller appends a unique part of its own. A key thereby names the only incarnation of the
+//! only entry VM that may run the request, and its expiry.
 
 use {
     crate::{Incarnation, Name},
     std::fmt,
 };
 
-/// Longest accepted caller's part, in bytes.
+/// Maximum length of the caller's part, in bytes.
 const CALLER_PART_LIMIT_BYTES: usize = 64;
 
 /// A parsed idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct IdempotencyKey {
-    /// The entry VM that alone may run the work.
+    /// The only entry VM that may run the request.
     pub vm: Name,
-    /// The life of that VM's entry process that alone may run the work.
+    /// The only incarnation of that VM's entry process that may run the request.
     pub incarnation: Incarnation,
-    /// End of the key's life, in milliseconds since that incarnation started.
+    /// Expiry, in milliseconds since that incarnation started.
     pub expiry_ms: u64,
-    /// The part the caller chose.
+    /// The part that the caller appended.
     pub caller_part: Box<str>,
 }
 
-/// Why a text is no idempotency key.
+/// Errors of parsing an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyError {
-    /// It has not the four parts.
+    /// The key does not consist of four parts, or its VM name is empty.
     Shape,
-    /// A number in it cannot be read.
+    /// The incarnation or the expiry is not a hexadecimal `u64`.
     Number,
-    /// The caller's part is empty, too long or holds other than letters, digits, `-` and `_`.
+    /// The caller's part is empty, too long or contains characters other than ASCII letters, digits, `-` and
+    /// `_`.
     CallerPart,
 }
 
 impl IdempotencyKey {
-    /// Reads a key from a header's value.
+    /// Parses a key from a header value.
     ///
     /// # Errors
-    /// A [`KeyError`] that says which part is wrong.
+    /// A [`KeyError`] that names the invalid part.
     pub fn parse(text: &str) -> Result<Self, KeyError> {
         let mut parts = text.splitn(4, '.');
         let mut next = || parts.next().ok_or(KeyError::Shape);
@@ -51,26 +52,26 @@
         check_caller_part(caller_part)?;
         Ok(Self {
             vm: vm.into(),
-            incarnation: Incarnation(hex(incarnation)?),
-            expiry_ms: hex(expiry)?,
+            incarnation: Incarnation(parse_hex(incarnation)?),
+            expiry_ms: parse_hex(expiry)?,
             caller_part: caller_part.into(),
         })
     }
 
-    /// The part of a key that locate hands out: everything before the caller's part.
+    /// Formats the part that locate issues: everything before the caller's part, with the trailing dot.
     pub fn prefix(vm: &Name, incarnation: Incarnation, expiry_ms: u64) -> String {
         format!("{vm}.{incarnation}.{expiry_ms:x}.")
     }
 }
 
-fn hex(text: &str) -> Result<u64, KeyError> {
+fn parse_hex(text: &str) -> Result<u64, KeyError> {
     u64::from_str_radix(text, 16).map_err(|_| KeyError::Number)
 }
 
 fn check_caller_part(part: &str) -> Result<(), KeyError> {
-    let allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    let good = !part.is_empty() && part.len() <= CALLER_PART_LIMIT_BYTES && part.bytes().all(allowed);
-    if good { Ok(()) } else { Err(KeyError::CallerPart) }
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    let is_valid = !part.is_empty() && part.len() <= CALLER_PART_LIMIT_BYTES && part.bytes().all(is_allowed);
+    if is_valid { Ok(()) } else { Err(KeyError::CallerPart) }
 }
 
 impl fmt::Display for IdempotencyKey {
--- a/crates/pointvane-core/src/lib.rs
+++ b/crates/pointvane-core/src/lib.rs
@@ -1,9 +1,14 @@
-//! Types, units, the closed list of error kinds and the small traits at pointvane's interfaces.
+//! Shared types, units, error kinds and interface traits of pointvane.
 //!
-//! Of both forms: `backoff`, `error`, `identity`, `late_answer`, `request_limit`, `retry_after`, `token_bucket`. Of the three programs: `key`, `request`, `traits`. Of the node: `account`, `adapter`, `evacuation`,
-//! `published`, `routing`, `routing_delta`.
+//! Modules by the deployment that uses them:
 //!
-//! Nothing here does I/O, starts a thread or reads a clock. Times are microseconds of a monotonic clock
+//! - both deployments: `backoff`, `error`, `hedge_schedule`, `identity`, `late_answer`, `request_limit`,
+//!   `retry_after`, `token_bucket`
+//! - the separate entry, control and locate programs: `key`, `request`, `traits`
+//! - the node, which combines the roles in one program: `account`, `adapter`, `evacuation`, `published`,
+//!   `routing`, `routing_delta`
+//!
+//! This crate does no I/O, starts no threads and reads no clock. Times are microseconds of a monotonic clock
 //! (`*_us`) unless a name says otherwise.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -49,7 +54,7 @@
     traits::{Clock, LoadReport, Observation, ObservedLimit, Platform, PlatformError, PlatformReading},
 };
 
-/// Microseconds in a millisecond.
+/// Microseconds per millisecond.
 pub const US_PER_MS: u64 = 1_000;
-/// Microseconds in a second.
+/// Microseconds per second.
 pub const US_PER_S: u64 = 1_000_000;
--- a/crates/pointvane-core/src/request.rs
+++ b/crates/pointvane-core/src/request.rs
@@ -1,13 +1,13 @@
-//! Class of a request, and the headers of the three programs.
+//! Request class, and the HTTP headers of the entry, control and locate programs.
 
 use serde::{Deserialize, Serialize};
 
-/// How urgent a request is.
+/// Urgency class of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Class {
-    /// Goes ahead of routine work, up to a share.
+    /// Takes precedence over routine requests, up to a share of the capacity.
     Urgent,
-    /// Everything else.
+    /// All other requests.
     #[default]
     Routine,
 }
@@ -16,7 +16,7 @@
     /// Number of classes.
     pub const COUNT: usize = 2;
 
-    /// Reads the value of the class header.
+    /// Parses the value of the [`header::CLASS`] header; `None` if it is not a class.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "urgent" => Some(Self::Urgent),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The class's name in headers and metrics.
+    /// Name of the class in headers and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Urgent => "urgent",
@@ -34,20 +34,21 @@
     }
 }
 
-/// Names of the headers between callers, entry VMs and upstreams.
+/// Names of the HTTP headers between callers, entry VMs and upstreams.
 pub mod header {
     /// Request: `urgent` or `routine`.
     pub const CLASS: &str = "pointvane-class";
-    /// Request: milliseconds the caller will still wait; passed on reduced by the time spent.
+    /// Request: remaining time for which the caller waits, in milliseconds; reduced by the time spent when
+    /// forwarded.
     pub const DEADLINE_MS: &str = "pointvane-deadline-ms";
     /// Request: the idempotency key.
     pub const KEY: &str = "idempotency-key";
-    /// Request between entry VMs: marks one already passed on, so that it is passed on only once.
+    /// Request between entry VMs: marks a request that has been forwarded, so that it is forwarded only once.
     pub const FORWARDED_BY: &str = "pointvane-forwarded-by";
-    /// Answer: `answered`, `not-run` or `unknown`.
+    /// Response: `answered`, `not-run` or `unknown`.
     pub const OUTCOME: &str = "pointvane-outcome";
-    /// Answer: the error kind when the system itself answers.
+    /// Response: the error kind, if pointvane itself responds.
     pub const ERROR: &str = "pointvane-error";
-    /// Answer of an upstream: its load, in the text form of the ORCA load report.
+    /// Response of an upstream: its load, in the text format of ORCA load reports.
     pub const LOAD: &str = "endpoint-load-metrics";
 }
--- a/crates/pointvane-core/src/traits.rs
+++ b/crates/pointvane-core/src/traits.rs
@@ -1,4 +1,4 @@
-//! The small traits at the interfaces, and what passes through them.
+//! Clock and platform interfaces, and the load and limit reports that processes exchange.
 
 use {
     crate::{LimitNotice, Name, PER_1000_S},
@@ -6,43 +6,45 @@
     std::fmt,
 };
 
-/// A source of time.
+/// A monotonic clock.
 pub trait Clock {
-    /// Microseconds of a monotonic clock whose start is arbitrary.
+    /// Current time in microseconds since an arbitrary start.
     fn now_us(&self) -> u64;
 }
 
-/// An upstream's report of its own load, in an answer or to a probe.
+/// Load report of an upstream, in a response to a request or a health probe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests it holds, waiting or running.
+    /// Requests in flight, queued or running.
     pub in_flight: u16,
-    /// Whether it is draining and wants no new work.
+    /// Whether it is draining and gets no new requests.
     pub draining: bool,
-    /// How many requests a second it takes from all entry VMs together.
+    /// Request limit, which applies to all entry VMs together.
     pub limit: LimitNotice,
 }
 
 impl LoadReport {
-    /// Reads the text form: `TEXT named_metrics.in_flight=3,named_metrics.draining=1`, and `named_metrics.request_limit=2.5` where it advertises a limit.
+    /// Parses the ORCA text format `TEXT named_metrics.in_flight=3,named_metrics.draining=1`, to which
+    /// `,named_metrics.request_limit=2.5` is added if the upstream advertises a limit, in requests per
+    /// second. Unknown fields are ignored; `None` if the text is malformed or lacks `in_flight`.
     pub fn parse(text: &str) -> Option<Self> {
         let fields = text.strip_prefix("TEXT ")?;
         let mut report = Self::default();
-        let mut seen = false;
+        let mut has_in_flight = false;
         for field in fields.split(',') {
             let (name, value) = field.trim().split_once('=')?;
             match name {
                 "named_metrics.in_flight" => {
-                    // A report without its main figure is none.
+                    // `in_flight` is required.
                     report.in_flight = value.parse().ok()?;
-                    seen = true;
+                    has_in_flight = true;
                 }
                 "named_metrics.draining" => report.draining = value == "1",
                 "named_metrics.request_limit" => report.limit = LimitNotice::read([value.as_bytes()]),
                 _ => {}
             }
         }
-        seen.then_some(report)
+        has_in_flight.then_some(report)
     }
 }
 
@@ -59,53 +61,54 @@
     }
 }
 
-/// What an entry VM knows of one upstream of a service, as it is sent to other entry VMs.
+/// An entry VM's view of one upstream of a service, as sent to other entry VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Position of the upstream in the configuration.
+    /// Index of the upstream in the configuration.
     pub position: u16,
-    /// Requests at it.
+    /// Requests in flight at the upstream.
     pub requests: u16,
-    /// Whether it is leaving.
+    /// Whether the upstream is shutting down.
     pub leaving: bool,
-    /// Age when it was sent or received, in milliseconds.
+    /// Age at the time of sending or receiving, in milliseconds.
     pub age_ms: u16,
 }
 
-/// The limit that an upstream advertised, as it is sent to other entry VMs.
+/// An upstream's advertised limit, as sent to other entry VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObservedLimit {
-    /// Position of the upstream in the configuration.
+    /// Index of the upstream in the configuration.
     pub position: u16,
-    /// Requests that it takes in a thousand seconds; none if it advertises no limit any more.
+    /// Limit in requests per 1000 seconds; `None` if the upstream no longer advertises one.
     pub per_1000_s: Option<u32>,
-    /// How long ago it did so, in milliseconds.
+    /// Time since the upstream advertised this, in milliseconds.
     pub age_ms: u32,
 }
 
-/// One value read from the platform.
+/// A value read from the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformReading {
-    /// The platform's own write count for the value.
+    /// The platform's modification index of the value.
     pub index: u64,
-    /// The value, or none if nothing is published there.
+    /// The value; `None` if nothing is published under the key.
     pub value: Option<Vec<u8>>,
 }
 
-/// Why the platform gave nothing.
+/// Errors of reading from the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformError {
-    /// No answer, or an error answer.
+    /// No response, or an error response.
     Unavailable,
-    /// An answer that cannot be understood.
+    /// The response cannot be decoded.
     Malformed,
 }
 
-/// The users' service that holds what operators publish; it can only be read.
+/// Read-only interface to the service that stores what operators publish.
 pub trait Platform {
-    /// Waits until the value's index exceeds `after_index`, or the platform's own time limit.
+    /// Waits until the index of the value under `key` exceeds `after_index`, or until the platform's own
+    /// timeout, and returns the value.
     ///
     /// # Errors
-    /// A [`PlatformError`] when nothing usable came.
+    /// A [`PlatformError`] when no usable response arrived.
     fn watch(&self, key: &Name, after_index: u64) -> Result<PlatformReading, PlatformError>;
 }
--- a/crates/pointvane-core/tests/core.rs
+++ b/crates/pointvane-core/tests/core.rs
@@ -1,4 +1,4 @@
-//! The table of error kinds, keys and load reports.
+//! Tests of the error table, idempotency keys, load reports and header names.
 
 use {
     googletest::prelude::*,
@@ -8,7 +8,7 @@
 };
 
 #[gtest]
-fn each_kind_has_its_own_row() {
+fn rows_are_in_the_order_of_the_kinds() {
     for (position, row) in ErrorKind::table().iter().enumerate() {
         expect_that!(row.kind as usize, eq(position));
         expect_that!(row.kind.answer(), eq(row));
@@ -16,7 +16,7 @@
 }
 
 #[gtest]
-fn a_kind_is_never_answered_as_if_an_upstream_had_answered() {
+fn error_responses_never_look_like_responses_of_upstreams() {
     for row in ErrorKind::table() {
         expect_that!(row.outcome, not(eq(Outcome::Answered)));
         expect_that!(row.status, ge(400));
@@ -24,7 +24,7 @@
 }
 
 #[gtest]
-fn a_key_reads_back_as_it_was_written() {
+fn keys_round_trip() {
     let text = format!("{}order-17", IdempotencyKey::prefix(&"entry-1".into(), Incarnation(0xab12), 255));
     let key = IdempotencyKey::parse(&text).unwrap();
     expect_that!(text, eq("entry-1.ab12.ff.order-17"));
@@ -34,7 +34,7 @@
 }
 
 #[gtest]
-fn a_key_that_names_no_owner_is_refused() {
+fn malformed_keys_are_rejected() {
     expect_that!(IdempotencyKey::parse("order-17"), err(eq(&KeyError::Shape)));
     expect_that!(IdempotencyKey::parse(".ab.ff.x"), err(eq(&KeyError::Shape)));
     expect_that!(IdempotencyKey::parse("vm.xyz.ff.x"), err(eq(&KeyError::Number)));
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn a_load_report_reads_back_and_rubbish_does_not() {
+fn load_reports_round_trip_and_malformed_ones_are_rejected() {
     let report = LoadReport { in_flight: 7, draining: true, ..LoadReport::default() };
     expect_that!(LoadReport::parse(&report.to_string()), some(eq(report)));
     for text in ["", "TEXT", "TEXT cpu_utilization=0.3", "TEXT named_metrics.in_flight=-1", "JSON {}"] {
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn the_table_of_error_kinds_stays_as_it_is() {
+fn the_error_table_is_stable() {
     let row = |row: &AnswerRow| {
         let retry = if row.retry_after { " retry-after" } else { "" };
         format!("{} {} {}{retry}", row.name, row.status, row.outcome.as_str())
@@ -91,7 +91,7 @@
 }
 
 #[gtest]
-fn the_headers_of_the_three_programs_keep_their_names() {
+fn header_names_are_stable() {
     let names = [
         header::CLASS,
         header::DEADLINE_MS,
