--- a/crates/pointvane-core/src/lib.rs
+++ b/crates/pointvane-core/src/lib.rs
@@ -42,7 +42,7 @@
     key::{IdempotencyKey, KeyError},
     late_answer::SentRequest,
     published::{
-        Change, ChangePage, EntryAge, EntryKey, ItemFault, MalformedReply, RefusedItem, UpstreamLoad,
+        Change, ChangePage, EntryKey, EntryVersion, ItemFault, MalformedReply, RefusedItem, UpstreamLoad,
         UpstreamRecord,
     },
     request::{Class, header},
--- a/crates/pointvane-core/src/published.rs
+++ b/crates/pointvane-core/src/published.rs
@@ -32,15 +32,15 @@
 /// Orders the entries of one upstream from oldest to newest: by start time, then by sequence number. An entry
 /// without a start time is older than every entry with one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct EntryAge {
+pub struct EntryVersion {
     born_ms: Option<u64>,
     sequence: u64,
 }
 
 impl UpstreamRecord {
     /// Position of this entry in the order of all entries of its upstream.
-    pub fn age(&self) -> EntryAge {
-        EntryAge { born_ms: self.born_ms, sequence: self.sequence }
+    pub fn age(&self) -> EntryVersion {
+        EntryVersion { born_ms: self.born_ms, sequence: self.sequence }
     }
 }
 
