--- a/crates/pointvane-core/src/backoff.rs
+++ b/crates/pointvane-core/src/backoff.rs
@@ -20,15 +20,15 @@
 const SERVICE_TIME_US: u64 = 100_000;
 /// Processes per slot that may resume without a delay, because the few requests of each rarely coincide.
 ///
-/// In simulated fleets (`pointvane-dispatch/tests/notices_fleet.rs`) where 14 of 472 processes use each of
-/// 1,080 upstreams with 6 slots, at most 11 requests reached one upstream in the first 100 ms after a backoff
-/// of all upstreams for 3 s; an upstream can take 12. Spread over 233 ms, it was up to 20, because the first
-/// upstream to resume attracted the requests of all the others.
+/// When 14 of 472 processes use each of 1,080 upstreams with 6 slots
+/// (`pointvane-dispatch/tests/notices_fleet.rs`), at most 11 requests reach one upstream in the first 100 ms
+/// after a backoff of all upstreams for 3 s; an upstream can take 12. Spread over 233 ms, it is up to 20,
+/// because the first upstream to resume attracts the requests of all the others.
 const UNDELAYED_PROCESSES_PER_SLOT: usize = 3;
 /// Upper bound of the delay that a process adds, in microseconds.
 ///
-/// In the same simulation with 1,800 processes on 6 upstreams, which can take 30 requests each, resuming
-/// without a delay sent 95 requests to one upstream in the first 100 ms. A bound of 1 s lowers this to 16,
+/// In the same setup with 1,800 processes on 6 upstreams, which can take 30 requests each, resuming
+/// without a delay sends 95 requests to one upstream in the first 100 ms. A bound of 1 s lowers this to 16,
 /// and upstreams are in use again after 0.6 s instead of 0.2 s; 2 s lowers it to 10, after 1 s.
 const RESUME_DELAY_MAX_US: u64 = 1_000_000;
 
--- a/crates/pointvane-core/src/late_answer.rs
+++ b/crates/pointvane-core/src/late_answer.rs
@@ -5,8 +5,8 @@
 //! another attempt is answered first. Closing its connection cancels it at the upstream, but loses a response
 //! that is in transit. An upstream rejects a request either immediately or when the request times out in its
 //! queue, so the connection is kept open until such a rejection would have arrived. Inputs: the times of the
-//! send, the deadline and the abandonment, on one monotonic clock, and the round-trip time measured when the
-//! connection was opened. Tests: `tests/late_answer.rs`.
+//! send, the deadline and the abandonment, on one monotonic clock, and the time that the connection
+//! took to open, as the round-trip time. Tests: `tests/late_answer.rs`.
 
 use crate::US_PER_MS;
 
