--- a/crates/pointvane-node/src/directory.rs
+++ b/crates/pointvane-node/src/directory.rs
@@ -1,4 +1,4 @@
-//! The answers to readiness checks and to callers that look up which nodes to use.
+//! Handlers for readiness checks and for callers' lookups of the nodes to use.
 
 use {
     crate::{answer::short, connections::RelayBody, node::Node},
@@ -8,12 +8,12 @@
     std::{convert::Infallible, rc::Rc},
 };
 
-/// Content type of short answers.
+/// Content type of readiness and error responses.
 const TEXT: &str = "text/plain";
-/// Content type of the directory's answers.
+/// Content type of directory responses.
 const JSON: &str = "application/json";
 
-/// Answers whether callers may be sent here.
+/// Responds 200 if this node accepts callers, 503 otherwise.
 pub async fn readiness<A: PlatformAdapter>(
     node: Rc<Node<A>>,
     _request: Request<Incoming>,
@@ -22,17 +22,19 @@
     Ok(short(status, TEXT, String::new()))
 }
 
-/// Answers which nodes a caller should use.
+/// Responds with the addresses of the nodes that a caller should use.
+///
+/// 404 if the adapter does not recognise the path, 503 if no node is available.
 pub async fn directory<A: PlatformAdapter>(
     node: Rc<Node<A>>,
     request: Request<Incoming>,
 ) -> Result<Response<RelayBody>, Infallible> {
-    // Without a query the caller names no data centre.
+    // The query is optional; without it the caller names no data centre.
     let query = request.uri().query().unwrap_or_default();
-    let Some(question) = node.adapter.directory_question(request.uri().path(), query) else {
+    let Some(lookup) = node.adapter.directory_question(request.uri().path(), query) else {
         return Ok(short(StatusCode::NOT_FOUND, TEXT, String::new()));
     };
-    let addresses = directory_addresses(&node.fleet.directory_members(), question.data_centre.as_ref());
+    let addresses = directory_addresses(&node.fleet.directory_members(), lookup.data_centre.as_ref());
     if addresses.is_empty() {
         return Ok(short(StatusCode::SERVICE_UNAVAILABLE, TEXT, String::new()));
     }
--- a/crates/pointvane-node/src/fleet.rs
+++ b/crates/pointvane-node/src/fleet.rs
@@ -1,7 +1,8 @@
-//! The other nodes: who is there, who of them reads the platform, and which to query for what this node lacks.
+//! The other nodes of the fleet: membership, platform reader roles, and the selection of peers to query.
 //!
-//! Owns the membership, the sockets to other nodes and the relays received from them. All nodes compute the roles of
-//! readers alike, by link and rendezvous hashing over the members they know; `gossip.rs` and `relay.rs` carry the messages.
+//! Owns the membership, the sockets to other nodes and the sequence numbers of received relays. Every node
+//! computes the reader roles in the same way, by link speed and rendezvous hashing over the members it knows.
+//! `gossip_loop.rs` and `relay_loop.rs` send and receive the messages.
 
 mod limit_peers;
 mod quarantine_peers;
@@ -35,17 +36,20 @@
 
 /// Time between two pings of other nodes, in milliseconds.
 const PING_INTERVAL_MS: u64 = 400;
-/// Time from suspicion of a node to its death, in milliseconds.
+/// Time after which a suspected node is declared dead, in milliseconds.
 const SUSPECT_MS: u64 = 900;
-/// Time without a datagram of any other node after which this node counts as reaching none, in milliseconds: at the least
-/// some five datagrams a second come from others, so that one in two thousand such spans is empty by chance.
-const PEER_SILENCE_MS: u64 = 1_500;
-/// Ports between that of membership datagrams and that of relays.
+/// Time without a datagram from any other node after which this node considers itself isolated, in
+/// milliseconds.
+///
+/// At least about five datagrams a second arrive from other nodes, so that one in two thousand such intervals
+/// is empty by chance.
+const ISOLATION_TIMEOUT_MS: u64 = 1_500;
+/// Offset of the relay port from the gossip port.
 pub const RELAY_PORT_OFFSET: u16 = 1;
-/// What nodes are ranked for when relays are passed on; a name on the wire, as above.
-const RELAY_SUBJECT: &str = "relay";
+/// Rendezvous hash key for the forwarding order of relays. Nodes of all versions must use the same key.
+const RELAY_HASH_KEY: &str = "relay";
 
-/// The other nodes.
+/// This node's view of the fleet.
 #[derive(Debug)]
 pub struct Fleet {
     incarnation: Incarnation,
@@ -54,70 +58,72 @@
     received_rounds: RefCell<ReceivedRounds>,
     relay_round: Cell<u64>,
     broadcaster: Cell<Option<Broadcaster>>,
-    /// When a datagram of another node came last, in microseconds of the steady clock.
-    heard_at_us: Cell<u64>,
-    /// Whether any other node was heard in this life.
-    was_heard: Cell<bool>,
-    /// The latest revision of the platform that any peer has read.
+    /// Time of the last datagram from another node, in microseconds of the monotonic clock.
+    last_datagram_at_us: Cell<u64>,
+    /// Whether a datagram from another node was received since this process started.
+    received_any_datagram: Cell<bool>,
+    /// The latest platform revision that any peer has read.
     latest_revision: Cell<u64>,
     rng: RefCell<SmallRng>,
-    /// Changes of the membership so far.
-    changes: Cell<u64>,
-    /// Rounds in which other nodes are still asked for all that they know of quarantined requests.
-    pulls_left: Cell<u32>,
+    /// Number of membership changes since the start.
+    membership_changes: Cell<u64>,
+    /// Remaining rounds in which other nodes are asked for their full quarantine state.
+    pull_rounds_left: Cell<u32>,
 }
 
 impl Fleet {
-    /// A fleet of which only this node is known.
+    /// Creates a fleet in which only this node is known.
     pub fn new(
         settings: &NodeSettings,
         incarnation: Incarnation,
-        seeder: &mut SmallRng,
+        seed_rng: &mut SmallRng,
         now_us: u64,
     ) -> Self {
         Self {
             incarnation,
-            membership: RefCell::new(membership(settings, incarnation, seeder.random(), now_us)),
+            membership: RefCell::new(membership(settings, incarnation, seed_rng.random(), now_us)),
             sockets: OnceCell::new(),
             received_rounds: RefCell::default(),
-            // Rounds of a later life are higher than all rounds of this one.
+            // The incarnation is the start time in milliseconds: after a restart, numbers begin above all
+            // earlier ones.
             relay_round: Cell::new(incarnation.0),
             broadcaster: Cell::default(),
-            heard_at_us: Cell::new(now_us),
-            was_heard: Cell::default(),
+            last_datagram_at_us: Cell::new(now_us),
+            received_any_datagram: Cell::default(),
             latest_revision: Cell::default(),
-            rng: RefCell::new(SmallRng::from_rng(seeder)),
-            changes: Cell::default(),
-            pulls_left: Cell::new(quarantine_peers::PULLS_MAX),
+            rng: RefCell::new(SmallRng::from_rng(seed_rng)),
+            membership_changes: Cell::default(),
+            pull_rounds_left: Cell::new(quarantine_peers::PULL_ROUNDS_MAX),
         }
     }
 
-    /// This life of this node.
+    /// The incarnation of this process.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Takes note that the membership has changed.
-    pub fn changed(&self) {
-        self.changes.set(self.changes.get() + 1);
+    /// Counts a membership change.
+    pub fn record_membership_change(&self) {
+        self.membership_changes.set(self.membership_changes.get() + 1);
     }
 
-    /// Changes of the membership so far.
-    pub fn changes(&self) -> u64 {
-        self.changes.get()
+    /// Number of membership changes since the start.
+    pub fn membership_changes(&self) -> u64 {
+        self.membership_changes.get()
     }
 
-    /// Nodes that are not known to be dead, this one included.
+    /// Number of nodes that are not known to be dead, this one included.
     pub fn size(&self) -> usize {
         self.membership.borrow().rows().filter(|row| row.state != VmState::Dead).count()
     }
 
-    /// Nodes that share the turns at calling the platform, this one included: 1 while none of the others is heard.
+    /// Number of nodes that take turns at calling the platform, this one included; 1 while this node is
+    /// isolated.
     pub fn reached_nodes(&self, now_us: u64) -> usize {
-        if self.is_silent(now_us) { 1 } else { self.size() }
+        if self.is_isolated(now_us) { 1 } else { self.size() }
     }
 
-    /// Nodes that callers may be sent to.
+    /// Nodes that the directory offers to callers.
     pub fn directory_members(&self) -> Vec<DirectoryMember> {
         let membership = self.membership.borrow();
         let usable = membership.rows().filter(|row| {
@@ -131,18 +137,19 @@
         usable.map(member).collect()
     }
 
-    /// Sets what is published of this node's readiness.
+    /// Publishes this node's readiness to the other nodes.
     pub fn set_entry(&self, ready: bool, draining: bool) {
         let row = EntryRow { incarnation: self.incarnation, requests: 0, leaving: draining };
         self.membership.borrow_mut().set_entry((ready || draining).then_some(row));
     }
 
-    /// Announces that this node leaves.
+    /// Announces that this node is leaving the fleet.
     pub fn leave(&self) -> Vec<Action> {
         self.membership.borrow_mut().leave()
     }
 
-    /// Lets time pass: publishes how far this node has read, and pings others.
+    /// Advances the membership protocol: publishes the platform revision that this node has read, and pings
+    /// other nodes.
     pub fn tick(&self, revision: u64, now_us: u64) -> Vec<Action> {
         let configuration = Stamp { revision, index: 0 };
         let mut membership = self.membership.borrow_mut();
@@ -151,50 +158,55 @@
         actions
     }
 
-    /// Takes a message of another node.
+    /// Processes a gossip message from another node.
     pub fn receive(&self, from: SocketAddr, message: &GossipMessage, now_us: u64) -> Vec<Action> {
-        self.heard_peer(now_us);
+        self.record_peer_datagram(now_us);
         self.latest_revision.set(self.latest_revision.get().max(message.stamps.configuration.revision));
         self.membership.borrow_mut().receive(from, message, now_us)
     }
 
-    /// Takes note that a datagram of another node has come; after a silence this node may have missed news of quarantined requests.
-    fn heard_peer(&self, now_us: u64) {
-        self.was_heard.set(true);
-        if now_us.saturating_sub(self.heard_at_us.replace(now_us)) >= PEER_SILENCE_MS * US_PER_MS {
-            self.pull_quarantines();
+    /// Records that a datagram arrived from another node.
+    ///
+    /// After an isolation this node may have missed quarantine updates, so it pulls them.
+    fn record_peer_datagram(&self, now_us: u64) {
+        self.received_any_datagram.set(true);
+        if now_us.saturating_sub(self.last_datagram_at_us.replace(now_us)) >= ISOLATION_TIMEOUT_MS * US_PER_MS
+        {
+            self.request_quarantine_pull();
         }
     }
 
-    /// The latest revision of the platform that any peer has read.
+    /// The latest platform revision that any peer has read.
     pub fn latest_revision(&self) -> u64 {
         self.latest_revision.get()
     }
 
-    /// The number of this node's next relay.
+    /// Allocates the sequence number of this node's next relay.
     pub fn next_relay_round(&self) -> u64 {
         self.relay_round.set(self.relay_round.get() + 1);
         self.relay_round.get()
     }
 
-    /// Takes note of a relay; false if it is not newer than those received from its origin.
+    /// Records a received relay. Returns false if it is not newer than those already received from its
+    /// origin.
     pub fn is_new_relay(&self, datagram: &RelayDatagram, now_us: u64) -> bool {
-        self.heard_peer(now_us);
+        self.record_peer_datagram(now_us);
         let new = self.received_rounds.borrow_mut().is_new(datagram.origin, datagram.round, now_us);
         if new {
             let revision = datagram.relay.mark().revision;
-            let heard = Broadcaster { address: datagram.origin, revision, received_at_us: now_us };
-            self.broadcaster.set(Some(heard.or_better(self.broadcaster.get())));
+            let sender = Broadcaster { address: datagram.origin, revision, received_at_us: now_us };
+            self.broadcaster.set(Some(sender.or_better(self.broadcaster.get())));
         }
         new
     }
 
-    /// The nodes that a relay is passed on to.
+    /// The nodes to forward a relay to.
     pub fn relay_forwarders(&self, datagram: &RelayDatagram) -> Vec<Forwarder<SocketAddr>> {
         self.forwarders(datagram.origin, datagram.segment, RELAY_PORT_OFFSET)
     }
 
-    /// The nodes that a broadcast is passed on to, at a port so far behind that of membership datagrams.
+    /// The nodes to forward a broadcast to, each with its part of the segment. `port_offset` is relative to
+    /// the gossip port.
     fn forwarders(
         &self,
         origin: SocketAddr,
@@ -204,33 +216,33 @@
         let membership = self.membership.borrow();
         let others = membership.rows().skip(1).filter(|row| row.state != VmState::Dead);
         let others = others.filter(|row| row.control_address() != origin);
-        let line = others.map(|row| OrderedNode {
+        let peers = others.map(|row| OrderedNode {
             hash: relay_position(&row.identity),
             node: SocketAddr::new(row.identity.address, row.control_port + port_offset),
         });
         let own = relay_position(&membership.me().identity);
-        let mut line: Vec<_> = line.collect();
-        let fan_out = fan_out(line.len());
-        forwarders(segment, own, &mut line, fan_out, &mut self.rng.borrow_mut())
+        let mut peers: Vec<_> = peers.collect();
+        let fan_out = fan_out(peers.len());
+        forwarders(segment, own, &mut peers, fan_out, &mut self.rng.borrow_mut())
     }
 
-    /// What this node does for the others' reading of the platform.
+    /// This node's role in reading the platform for the fleet.
     pub fn reader_role(&self) -> ReaderRole {
         reader_roles::role(&self.membership.borrow())
     }
 
-    /// Whether the node at an address precedes this one as a reader.
+    /// Whether the node at the gossip address `origin` precedes this one in the order of readers.
     pub fn precedes(&self, origin: SocketAddr) -> bool {
         reader_roles::precedes(&self.membership.borrow(), origin)
     }
 }
 
-/// The position of a node when relays are passed on.
+/// The position of a node in the forwarding order of relays.
 fn relay_position(identity: &VmIdentity) -> u64 {
-    broadcast_position(rank(RELAY_SUBJECT, &identity.data_centre), rank(RELAY_SUBJECT, &identity.name))
+    broadcast_position(rank(RELAY_HASH_KEY, &identity.data_centre), rank(RELAY_HASH_KEY, &identity.name))
 }
 
-/// A membership that knows only this node.
+/// Creates a membership that contains only this node.
 fn membership(settings: &NodeSettings, incarnation: Incarnation, seed: u64, now_us: u64) -> Membership {
     let options = MembershipOptions {
         probe_interval_ms: PING_INTERVAL_MS,
--- a/crates/pointvane-node/src/fleet/quarantine_peers.rs
+++ b/crates/pointvane-node/src/fleet/quarantine_peers.rs
@@ -1,4 +1,4 @@
-//! The other nodes as those to exchange news of quarantined requests with.
+//! Peers with which updates on quarantined requests are exchanged.
 
 use {
     super::Fleet,
@@ -9,15 +9,15 @@
     std::net::SocketAddr,
 };
 
-/// Ports between that of membership datagrams and that of news of quarantined requests.
+/// Offset of the quarantine message port from the gossip port.
 pub const QUARANTINE_PORT_OFFSET: u16 = 2;
-/// Rounds in which other nodes are asked for what they know of quarantined requests, after a start or a pause: 4 s, after which some of it
-/// has come by itself.
-pub(super) const PULLS_MAX: u32 = 20;
+/// Maximum number of rounds in which other nodes are asked for their quarantine state after a start or a
+/// pause. This covers 4 s, by which time regular updates have delivered part of the state.
+pub(super) const PULL_ROUNDS_MAX: u32 = 20;
 
 impl Fleet {
-    /// Where some other nodes, drawn at random, take news of quarantined requests: all of them if there are no more than `count`.
-    pub fn draw_quarantine_peers(&self, count: usize) -> Vec<SocketAddr> {
+    /// The quarantine addresses of `count` other nodes chosen at random, or of all others if there are fewer.
+    pub fn sample_quarantine_peers(&self, count: usize) -> Vec<SocketAddr> {
         let membership = self.membership.borrow();
         let others = membership.rows().skip(1).filter(|row| row.state != VmState::Dead);
         let address = |row: &MemberRow| {
@@ -26,7 +26,8 @@
         others.map(address).choose_multiple(&mut *self.rng.borrow_mut(), count)
     }
 
-    /// This node's place among those that may try a request after its quarantine; the same for all queries and bodies.
+    /// This node's position in the order of the nodes that may retry a request after its quarantine. It is
+    /// the same for all queries and bodies of a request.
     pub fn trial_turn(&self, request: HeadFingerprint) -> TrialTurn {
         let membership = self.membership.borrow();
         let position = rank(&request.to_string(), &membership.me().identity.name) as f64 / u64::MAX as f64;
@@ -34,20 +35,21 @@
         TrialTurn { position, nodes }
     }
 
-    /// Asks other nodes for all that they know, from the next round on: this node may have missed news.
-    pub fn pull_quarantines(&self) {
-        self.pulls_left.set(PULLS_MAX);
+    /// Schedules pulls of the full quarantine state from the next round on, since this node may have missed
+    /// updates.
+    pub fn request_quarantine_pull(&self) {
+        self.pull_rounds_left.set(PULL_ROUNDS_MAX);
     }
 
-    /// Takes note that a node has answered that.
-    pub fn quarantines_pulled(&self) {
-        self.pulls_left.set(0);
+    /// Records that a node has answered a pull, and ends the pulls.
+    pub fn record_pull_answer(&self) {
+        self.pull_rounds_left.set(0);
     }
 
-    /// Whether other nodes are to be asked in this round.
-    pub fn take_pull(&self) -> bool {
-        let left = self.pulls_left.get();
-        self.pulls_left.set(left.saturating_sub(1));
+    /// Whether to pull in this round; counts the round.
+    pub fn take_pull_round(&self) -> bool {
+        let left = self.pull_rounds_left.get();
+        self.pull_rounds_left.set(left.saturating_sub(1));
         left > 0
     }
 }
--- a/crates/pointvane-node/src/fleet/query_peers.rs
+++ b/crates/pointvane-node/src/fleet/query_peers.rs
@@ -1,4 +1,4 @@
-//! The other nodes as those to query for what this node lacks of the platform.
+//! Selects the peers to query for platform state that this node lacks.
 
 use {
     super::Fleet,
@@ -11,13 +11,13 @@
 };
 
 impl Fleet {
-    /// This node's position in the order in which nodes query each other for a revision, from 0 to 1.
+    /// This node's position, from 0 to 1, in the order in which nodes query each other for a revision.
     pub fn query_position(&self, revision: u64) -> f64 {
         let membership = self.membership.borrow();
-        query_position(rank(&query_subject(revision), &membership.me().identity.name))
+        query_position(rank(&query_hash_key(revision), &membership.me().identity.name))
     }
 
-    /// The node to query for what it knows of the platform.
+    /// The gossip addresses of the nodes to query for platform state; empty if none is known.
     pub fn peers_to_query(&self, target: QueryTarget, settings: &NodeSettings) -> Vec<SocketAddr> {
         match target {
             QueryTarget::Any => self.any_peers(settings),
@@ -32,27 +32,28 @@
         self.broadcaster.get().map(|broadcaster| broadcaster.address)
     }
 
-    /// Any other live node that has read something, one of this data centre if there is one; all other seeds while none is known.
+    /// A random live node that has platform state, preferably in this data centre. All other seeds while no
+    /// such node is known.
     fn any_peers(&self, settings: &NodeSettings) -> Vec<SocketAddr> {
         let mut rng = self.rng.borrow_mut();
         let membership = self.membership.borrow();
         let me = &membership.me().identity;
-        let informed = |row: &&MemberRow| row.state == VmState::Live && row.stamp.revision > 0;
-        let near = |row: &&MemberRow| row.identity.data_centre == me.data_centre;
-        let others = || membership.rows().skip(1).filter(informed);
-        let near_one = others().filter(near).choose(&mut *rng);
-        if let Some(peer) = near_one.or_else(|| others().choose(&mut *rng)) {
+        let has_state = |row: &&MemberRow| row.state == VmState::Live && row.stamp.revision > 0;
+        let is_local = |row: &&MemberRow| row.identity.data_centre == me.data_centre;
+        let others = || membership.rows().skip(1).filter(has_state);
+        let local_peer = others().filter(is_local).choose(&mut *rng);
+        if let Some(peer) = local_peer.or_else(|| others().choose(&mut *rng)) {
             return vec![peer.control_address()];
         }
         settings.seeds.iter().copied().filter(|seed| *seed != settings.gossip).collect()
     }
 
-    /// Another live node that queries for a revision well before this one.
+    /// Another live node that is well ahead of this one in the order of queries for a revision.
     fn earlier_peer(&self, revision: u64) -> Option<SocketAddr> {
         let membership = self.membership.borrow();
         let me = &membership.me().identity;
-        let subject = query_subject(revision);
-        let position = |name: &Name| query_position(rank(&subject, name));
+        let hash_key = query_hash_key(revision);
+        let position = |name: &Name| query_position(rank(&hash_key, name));
         let live = membership.rows().skip(1).filter(|row| row.state == VmState::Live);
         let peers = live.map(|row| QueryCandidate {
             node: row.control_address(),
@@ -63,7 +64,7 @@
     }
 }
 
-/// What nodes are ranked for when they query each other for a revision: another order for each.
-fn query_subject(revision: u64) -> String {
+/// Rendezvous hash key for the order of queries, which differs for each revision.
+fn query_hash_key(revision: u64) -> String {
     format!("state/{revision}")
 }
--- a/crates/pointvane-node/src/fleet/quota_peers.rs
+++ b/crates/pointvane-node/src/fleet/quota_peers.rs
@@ -1,4 +1,4 @@
-//! The other nodes as those that share the quotas of client accounts.
+//! Peers that share the quotas of client accounts, and the nodes that coordinate each account.
 
 use {
     super::Fleet,
@@ -9,22 +9,22 @@
     std::{cmp::Reverse, net::SocketAddr},
 };
 
-/// Ports between that of membership datagrams and that of quotas.
+/// Offset of the quota message port from the gossip port.
 pub const QUOTA_PORT_OFFSET: u16 = 3;
-/// Nodes that coordinate an account, so that one may be lost.
+/// Number of nodes that coordinate an account: two, so that one may fail.
 const COORDINATORS: usize = 2;
 
 /// A node that coordinates an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CoordinatorNode {
-    /// This one.
+    /// This node.
     Own,
-    /// Another one, which takes reports at this address.
+    /// Another node, which receives usage reports at this address.
     Other(SocketAddr),
 }
 
 impl CoordinatorNode {
-    /// The address of another node; none for this one.
+    /// The address of another node; `None` for this node.
     pub fn other(self) -> Option<SocketAddr> {
         match self {
             Self::Own => None,
@@ -34,29 +34,30 @@
 }
 
 impl Fleet {
-    /// What this node sees of the fleet. Nodes that are dead and did not leave as planned may live behind a cut, and count.
+    /// This node's view of the fleet. Dead nodes that did not shut down gracefully are counted, since they
+    /// may be alive on the other side of a network partition.
     pub fn contact(&self, settings: &NodeSettings, now_us: u64) -> FleetContact {
         let has_others = settings.seeds.iter().any(|seed| *seed != settings.gossip);
-        if !self.was_heard.get() {
+        if !self.received_any_datagram.get() {
             let nodes = (!has_others).then_some(1);
             return FleetContact { connected: !has_others, nodes, reached_share: 1.0 };
         }
         let membership = self.membership.borrow();
-        let left =
+        let has_left =
             |row: &MemberRow| row.state == VmState::Leaving || row.entry.is_some_and(|entry| entry.leaving);
-        let staying = || membership.rows().filter(|row| !left(row));
-        let reached = staying().filter(|row| row.state != VmState::Dead).count().max(1);
-        let nodes = staying().count().max(1);
+        let remaining = || membership.rows().filter(|row| !has_left(row));
+        let reached = remaining().filter(|row| row.state != VmState::Dead).count().max(1);
+        let nodes = remaining().count().max(1);
         FleetContact {
-            connected: !self.is_silent(now_us),
+            connected: !self.is_isolated(now_us),
             nodes: Some(nodes),
             reached_share: reached as f64 / nodes as f64,
         }
     }
 
-    /// Whether no other node was heard for a while.
-    pub(super) fn is_silent(&self, now_us: u64) -> bool {
-        now_us.saturating_sub(self.heard_at_us.get()) >= super::PEER_SILENCE_MS * US_PER_MS
+    /// Whether no datagram from another node arrived within the isolation timeout.
+    pub(super) fn is_isolated(&self, now_us: u64) -> bool {
+        now_us.saturating_sub(self.last_datagram_at_us.get()) >= super::ISOLATION_TIMEOUT_MS * US_PER_MS
     }
 
     /// The nodes that coordinate an account.
@@ -72,12 +73,12 @@
         live.into_iter().take(COORDINATORS).map(node).collect()
     }
 
-    /// Where other nodes send this one messages on quotas.
+    /// The address at which this node receives quota messages.
     pub fn own_quota_address(&self) -> SocketAddr {
         quota_address(self.membership.borrow().me())
     }
 
-    /// The nodes that shares of accounts are passed on to.
+    /// The nodes to forward shares of accounts to.
     pub fn quota_forwarders(&self, origin: SocketAddr, segment: Segment) -> Vec<Forwarder<SocketAddr>> {
         self.forwarders(origin, segment, QUOTA_PORT_OFFSET)
     }
--- a/crates/pointvane-node/src/fleet/sockets.rs
+++ b/crates/pointvane-node/src/fleet/sockets.rs
@@ -1,4 +1,5 @@
-//! The sockets to other nodes. What cannot leave now is as good as lost on the way, which all that is sent here survives.
+//! The UDP sockets to other nodes. A datagram that cannot be sent immediately is dropped: all protocols here
+//! tolerate lost datagrams.
 
 use {
     super::Fleet,
@@ -6,14 +7,14 @@
     tokio::net::UdpSocket,
 };
 
-/// The sockets to other nodes.
+/// The UDP sockets to other nodes.
 #[derive(Clone, Debug)]
 pub struct Sockets {
-    /// For membership datagrams.
+    /// For membership gossip.
     pub gossip: Rc<UdpSocket>,
-    /// For relays.
+    /// For relays of platform state.
     pub relays: Rc<UdpSocket>,
-    /// For news of quarantined requests.
+    /// For updates on quarantined requests.
     pub quarantine: Rc<UdpSocket>,
     /// For quotas of client accounts.
     pub quotas: Rc<UdpSocket>,
@@ -22,13 +23,13 @@
 }
 
 impl Fleet {
-    /// Takes the sockets; once.
+    /// Sets the sockets. Must be called once, before the first datagram is sent.
     pub fn set_sockets(&self, sockets: Sockets) {
-        // A second call would find them set already.
+        // A second call has no effect.
         _ = self.sockets.set(sockets);
     }
 
-    /// Sends a membership datagram to another node.
+    /// Sends a gossip datagram to another node.
     pub fn send_gossip(&self, bytes: &[u8], to: SocketAddr) {
         self.send(bytes, to, |sockets| &sockets.gossip);
     }
@@ -38,17 +39,17 @@
         self.send(bytes, to, |sockets| &sockets.relays);
     }
 
-    /// Sends news of quarantined requests to another node.
-    pub fn send_quarantine_news(&self, bytes: &[u8], to: SocketAddr) {
+    /// Sends a quarantine message to another node.
+    pub fn send_quarantine_update(&self, bytes: &[u8], to: SocketAddr) {
         self.send(bytes, to, |sockets| &sockets.quarantine);
     }
 
-    /// Sends a message on quotas to another node.
+    /// Sends a quota message to another node.
     pub fn send_quotas(&self, bytes: &[u8], to: SocketAddr) {
         self.send(bytes, to, |sockets| &sockets.quotas);
     }
 
-    /// Sends a message on limits to another node.
+    /// Sends a limit message to another node.
     pub fn send_limits(&self, bytes: &[u8], to: SocketAddr) {
         self.send(bytes, to, |sockets| &sockets.limits);
     }
--- a/crates/pointvane-node/src/lib.rs
+++ b/crates/pointvane-node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The node: one process a VM that forwards callers' requests, answers lookups in the directory and readiness checks, and
-//! exchanges state with the other nodes.
+//! The node: one process per VM that forwards callers' requests, serves directory lookups and readiness
+//! checks, and exchanges state with the other nodes.
 //!
-//! Decisions are those of `pointvane-dispatch` and `pointvane-mesh`; this crate is the shell around them, on one
-//! thread. The platform's formats come in through [`pointvane_core::PlatformAdapter`].
+//! `pointvane-dispatch` and `pointvane-mesh` make the decisions without I/O; this crate performs the I/O
+//! around them on a single thread. [`pointvane_core::PlatformAdapter`] translates the platform's formats.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/pointvane-node/src/lifecycle.rs
+++ b/crates/pointvane-node/src/lifecycle.rs
@@ -1,22 +1,22 @@
-//! How far a planned stop has come, and the callers' connections that are still open.
+//! The stage of a graceful shutdown, and the number of open caller connections.
 
 use {
     std::{cell::Cell, rc::Rc},
     tokio::sync::watch,
 };
 
-/// How far a planned stop has come.
+/// The stage of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Not begun.
+    /// No shutdown has begun.
     Running,
-    /// Callers are sent elsewhere; those that come are still served.
+    /// The node is withdrawn from the directory and from readiness; requests are still served.
     Draining,
-    /// Nothing new is accepted.
+    /// No new connections or requests are accepted.
     Closing,
 }
 
-/// The stage of a node and its open connections.
+/// The shutdown stage of a node and its open caller connections.
 #[derive(Debug)]
 pub struct Lifecycle {
     stage: watch::Sender<Stage>,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Counts an open connection of a caller for as long as it lives.
+/// Guard that counts one open caller connection until it is dropped.
 #[derive(Debug)]
 pub struct OpenConnection(Rc<Cell<usize>>);
 
@@ -40,29 +40,29 @@
 }
 
 impl Lifecycle {
-    /// Whether no planned stop has begun.
+    /// Whether no shutdown has begun.
     pub fn is_running(&self) -> bool {
         *self.stage.borrow() == Stage::Running
     }
 
-    /// Enters a stage.
-    pub fn enter(&self, stage: Stage) {
+    /// Enters a stage and wakes the tasks that wait for it.
+    pub fn set_stage(&self, stage: Stage) {
         self.stage.send_replace(stage);
     }
 
-    /// Returns once nothing new is accepted.
+    /// Returns once the stage is [`Stage::Closing`].
     pub async fn closing(&self) {
-        // The sender lives as long as this future, so the wait cannot fail.
+        // `self` owns the sender and outlives this future, so the wait cannot fail.
         _ = self.stage.subscribe().wait_for(|stage| *stage == Stage::Closing).await;
     }
 
-    /// Counts a caller's connection until the returned value is dropped.
+    /// Counts a caller connection as open until the returned guard is dropped.
     pub fn connection_opened(&self) -> OpenConnection {
         self.open.set(self.open.get() + 1);
         OpenConnection(Rc::clone(&self.open))
     }
 
-    /// Callers' connections that are open.
+    /// Number of open caller connections.
     pub fn connections_open(&self) -> usize {
         self.open.get()
     }
--- a/crates/pointvane-node/src/limit_loop.rs
+++ b/crates/pointvane-node/src/limit_loop.rs
@@ -1,7 +1,8 @@
-//! Messages between nodes on the limits that upstreams advertise, and this node's part of each.
+//! Announces the request limits of upstreams to the other nodes, and maintains this node's share of each limit.
 //!
-//! Nothing is sent, and no timer runs, while no upstream advertises a limit. A limit that is new, or differs, is announced to all nodes at once;
-//! one that goes on is announced again now and then, since a datagram may be lost and nodes start.
+//! Nothing is sent, and no timer runs, while no upstream advertises a limit. A new or changed limit is
+//! announced to all nodes at once. An unchanged limit is announced again periodically, since datagrams may be
+//! lost and nodes may start.
 
 use {
     crate::node::Node,
@@ -15,30 +16,30 @@
     },
 };
 
-/// Time between two checks for announcements that are due, and for parts that change.
-const TICK: Duration = Duration::from_millis(200);
+/// Time between two checks for due announcements and for changed shares.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Exchanges messages for as long as the process lives.
+/// Exchanges limit messages until the process ends.
 pub async fn run<A: PlatformAdapter>(node: Rc<Node<A>>, socket: Rc<UdpSocket>) {
-    tokio::join!(follow(&node), receive(&node, &socket));
+    tokio::join!(maintain(&node), receive(&node, &socket));
 }
 
-/// What a node's part of a limit was worked out from.
+/// The inputs from which this node's share of a limit is computed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct PartBasis {
-    /// Changes of the membership by then.
-    changes: u64,
+struct PlaceInputs {
+    /// [`Fleet::membership_changes`](crate::fleet::Fleet::membership_changes) at the time of the computation.
+    membership_changes: u64,
     per_1000_s: Option<u32>,
     doublings: u32,
     place: Option<LimitPlace>,
 }
 
-async fn follow<A: PlatformAdapter>(node: &Node<A>) {
+async fn maintain<A: PlatformAdapter>(node: &Node<A>) {
     loop {
         node.limits_changed.notified().await;
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut parts = HashMap::new();
+        let mut inputs_by_upstream = HashMap::new();
         while !node.dispatcher.pool().limited().is_empty() {
             tokio::select! {
                 _ = ticks.tick() => {}
@@ -46,78 +47,81 @@
             }
             let expired = node.dispatcher.pool_mut().expire_limits(node.now_us());
             expired.into_iter().for_each(|(key, change)| node.note_limit(key, change));
-            place(node, &mut parts);
-            announce(node);
+            update_places(node, &mut inputs_by_upstream);
+            send_announcements(node);
         }
     }
 }
 
-/// Works out this node's part of each limit anew, where what it rests on has changed.
-fn place<A: PlatformAdapter>(node: &Node<A>, parts: &mut HashMap<UpstreamKey, PartBasis>) {
+/// Recomputes this node's share of each limit whose inputs have changed.
+fn update_places<A: PlatformAdapter>(
+    node: &Node<A>,
+    inputs_by_upstream: &mut HashMap<UpstreamKey, PlaceInputs>,
+) {
     let now_us = node.now_us();
     let limited = node.dispatcher.pool().limited();
-    parts.retain(|key, _| limited.contains(key));
+    inputs_by_upstream.retain(|key, _| limited.contains(key));
     for key in limited {
-        let Some(basis) = basis(node, key, now_us) else { continue };
-        if parts.insert(key, basis) != Some(basis) {
-            node.dispatcher.pool_mut().set_limit_place(key, basis.place, now_us);
+        let Some(inputs) = place_inputs(node, key, now_us) else { continue };
+        if inputs_by_upstream.insert(key, inputs) != Some(inputs) {
+            node.dispatcher.pool_mut().set_limit_place(key, inputs.place, now_us);
         }
     }
 }
 
-/// Works out this node's part of one limit, whatever it rested on before.
+/// Recomputes this node's share of one limit unconditionally.
 pub fn place_limit<A: PlatformAdapter>(node: &Node<A>, key: UpstreamKey) {
     let now_us = node.now_us();
-    if let Some(basis) = basis(node, key, now_us) {
-        node.dispatcher.pool_mut().set_limit_place(key, basis.place, now_us);
+    if let Some(inputs) = place_inputs(node, key, now_us) {
+        node.dispatcher.pool_mut().set_limit_place(key, inputs.place, now_us);
     }
 }
 
-fn basis<A: PlatformAdapter>(node: &Node<A>, key: UpstreamKey, now_us: u64) -> Option<PartBasis> {
+fn place_inputs<A: PlatformAdapter>(node: &Node<A>, key: UpstreamKey, now_us: u64) -> Option<PlaceInputs> {
     let pool = node.dispatcher.pool();
     let state = pool.get(key)?;
     let contact = node.fleet.contact(&node.settings(), now_us);
     let place = || node.fleet.limit_place(state.id(), contact, node.running_ms());
-    Some(PartBasis {
-        changes: node.fleet.changes(),
+    Some(PlaceInputs {
+        membership_changes: node.fleet.membership_changes(),
         per_1000_s: state.limit().per_1000_s(),
         doublings: state.limit().doublings(now_us),
         place: node.lifecycle.is_running().then(place),
     })
 }
 
-/// Sends all nodes the announcements that are due.
-fn announce<A: PlatformAdapter>(node: &Node<A>) {
+/// Broadcasts the announcements that are due.
+fn send_announcements<A: PlatformAdapter>(node: &Node<A>) {
     let announcements = node.dispatcher.pool_mut().take_limit_announcements(node.now_us());
     let origin = node.settings().gossip;
     for limits in announcements.chunks(LIMITS_MAX) {
-        pass_on(node, &LimitMessage { origin, segment: Segment::ALL, limits: limits.to_vec() });
+        forward(node, &LimitMessage { origin, segment: Segment::ALL, limits: limits.to_vec() });
     }
 }
 
 async fn receive<A: PlatformAdapter>(node: &Node<A>, socket: &UdpSocket) {
     let mut buffer = [0; codec::DATAGRAM_LIMIT_BYTES];
     loop {
-        // As for gossip: an error is about an earlier send, and rubbish is ignored without a line.
+        // As in `gossip_loop.rs`: an error reports an earlier send, and malformed datagrams are not logged.
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
         let Ok(message) = codec::decode::<LimitMessage>(&buffer[..length]) else { continue };
-        message.limits.iter().for_each(|announced| receive_limit(node, announced));
-        pass_on(node, &message);
+        message.limits.iter().for_each(|announcement| receive_limit(node, announcement));
+        forward(node, &message);
     }
 }
 
-fn receive_limit<A: PlatformAdapter>(node: &Node<A>, announced: &LimitAnnouncement) {
-    let change = node.dispatcher.pool_mut().receive_limit(announced, node.now_us());
+fn receive_limit<A: PlatformAdapter>(node: &Node<A>, announcement: &LimitAnnouncement) {
+    let change = node.dispatcher.pool_mut().receive_limit(announcement, node.now_us());
     if let Some((key, change)) = change {
         node.note_limit(key, change);
     }
 }
 
-/// Sends a message to the few nodes by which all in its segment receive it.
-fn pass_on<A: PlatformAdapter>(node: &Node<A>, message: &LimitMessage) {
+/// Forwards a message to the next nodes of the broadcast tree, each of which covers a part of its segment.
+fn forward<A: PlatformAdapter>(node: &Node<A>, message: &LimitMessage) {
     for Forwarder { node: to, segment } in node.fleet.limit_forwarders(message.origin, message.segment) {
         let message = LimitMessage { segment, ..message.clone() };
-        // Messages are bounded to a datagram; one that were longer would be lost, as on the way.
+        // Messages are kept within a datagram; an oversized one is dropped like a lost datagram.
         if let Ok(bytes) = codec::encode(&message) {
             node.fleet.send_limits(&bytes, to);
         }
--- a/crates/pointvane-node/src/node.rs
+++ b/crates/pointvane-node/src/node.rs
@@ -1,7 +1,7 @@
-//! One node: its parts, and what they are made of at the start.
+//! The node and its components.
 //!
-//! Each part owns its state and is used by one thread: [`Dispatcher`] what requests need, [`Fleet`] the other nodes,
-//! [`PlatformState`] the platform, [`Lifecycle`] the planned stop.
+//! Each component owns its state, and all run on one thread: [`Dispatcher`] handles requests, [`Fleet`] the
+//! other nodes, [`PlatformState`] the state read from the platform, and [`Lifecycle`] the graceful shutdown.
 
 use {
     crate::{
@@ -16,88 +16,90 @@
     tokio::sync::Notify,
 };
 
-/// One node.
+/// The state of a node, shared by all of its tasks.
 #[derive(Debug)]
 pub struct Node<A> {
-    /// The platform's formats.
+    /// Translates the platform's formats.
     pub adapter: A,
-    /// The headers' names.
+    /// Names of the HTTP headers in use.
     pub headers: Headers,
-    /// Log lines, time line and metrics.
+    /// Log lines, event log and metrics.
     pub report: Report,
-    /// Routes, upstreams, budgets and connections.
+    /// Routes, upstreams, budgets and upstream connections.
     pub dispatcher: Dispatcher,
     /// The other nodes.
     pub fleet: Fleet,
-    /// What is read of the platform.
+    /// State read from the platform.
     pub platform: PlatformState,
-    /// How far a planned stop has come.
+    /// Stage of a graceful shutdown.
     pub lifecycle: Lifecycle,
     settings: RefCell<NodeSettings>,
     clock: MonotonicClock,
-    /// Notified when other nodes are to learn at once of a request under which upstreams crash.
-    pub quarantine_news: Notify,
-    /// Notified when other nodes are to learn at once that requests of a client account with a quota come, or this node begins to coordinate one.
+    /// Notified when a crash or a survival must be sent to other nodes at once.
+    pub quarantine_updates: Notify,
+    /// Notified when a client account with a quota is in use, or this node begins to coordinate one.
     pub quotas_used: Notify,
-    /// Notified when an upstream advertises a limit, another one, or none any more.
+    /// Notified when an upstream adds, changes or removes its advertised limit.
     pub limits_changed: Notify,
 }
 
 impl<A: PlatformAdapter> Node<A> {
-    /// A node that knows only its settings.
+    /// Creates a node that has not yet read the platform or contacted other nodes.
     pub fn new(adapter: A, settings: NodeSettings, options: &NodeOptions, report: Report) -> Self {
         let clock = MonotonicClock::start();
         let now_us = clock.now_us();
-        let mut seeder = SmallRng::from_os_rng();
+        let mut seed_rng = SmallRng::from_os_rng();
         let incarnation = Incarnation(wall_ms());
         Self {
             headers: adapter.headers().into(),
             adapter,
             report,
-            dispatcher: Dispatcher::new(options, &settings, incarnation, &mut seeder, now_us),
-            fleet: Fleet::new(&settings, incarnation, &mut seeder, now_us),
-            platform: PlatformState::new(&settings, seeder.random()),
+            dispatcher: Dispatcher::new(options, &settings, incarnation, &mut seed_rng, now_us),
+            fleet: Fleet::new(&settings, incarnation, &mut seed_rng, now_us),
+            platform: PlatformState::new(&settings, seed_rng.random()),
             lifecycle: Lifecycle::default(),
             settings: RefCell::new(settings),
             clock,
-            quarantine_news: Notify::new(),
+            quarantine_updates: Notify::new(),
             quotas_used: Notify::new(),
             limits_changed: Notify::new(),
         }
     }
 
-    /// Microseconds of the steady clock.
+    /// The monotonic time, in microseconds.
     pub fn now_us(&self) -> u64 {
         self.clock.now_us()
     }
 
-    /// Time since this node's start, in milliseconds.
+    /// Time since the start of this process, in milliseconds.
     pub fn running_ms(&self) -> u64 {
         self.clock.since_start_ms()
     }
 
-    /// The settings in force.
+    /// The current settings.
     pub fn settings(&self) -> Ref<'_, NodeSettings> {
         self.settings.borrow()
     }
 
-    /// Puts other settings in force.
+    /// Replaces the settings and recomputes this node's share of the budgets.
     pub fn replace_settings(&self, settings: NodeSettings) {
         self.settings.replace(settings);
         self.share_budgets();
     }
 
-    /// Whether callers may be sent here: both the configuration and the upstreams were read.
+    /// Whether this node accepts callers: it is not shutting down and has read the configuration and the
+    /// upstreams.
     pub fn is_ready(&self) -> bool {
         self.lifecycle.is_running() && self.knows_platform()
     }
 
-    /// Whether both the configuration and the upstreams were read.
+    /// Whether both the configuration and the upstreams have been read.
     pub fn knows_platform(&self) -> bool {
         self.dispatcher.routes().version() > 0 && self.platform.mark().revision > 0
     }
 
-    /// Divides the fleet's budgets among the nodes that are seen now, or were seen before.
+    /// Recomputes this node's share of the fleet-wide budgets from the largest number of nodes seen at once
+    /// so far.
     pub fn share_budgets(&self) {
         let limits = self.settings().limits.clone();
         let (budgets, warm_up) = (limits.budgets(), limits.warm_up());
--- a/crates/pointvane-node/src/operator.rs
+++ b/crates/pointvane-node/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator port: metrics, events and status.
+//! Handler of the operator port: metrics, events and status.
 
 use {
     crate::{answer::short, connections::RelayBody, node::Node},
@@ -8,18 +8,18 @@
     std::{convert::Infallible, rc::Rc},
 };
 
-/// Content type of metrics and short answers.
+/// Content type of metrics and error responses.
 const TEXT: &str = "text/plain";
 /// Content type of events and status.
 const JSON: &str = "application/json";
 
-/// Upstreams without work that the status lists. Bounds an answer; not measured.
-const WITHHELD_ROWS_MAX: usize = 64;
+/// Maximum number of rows in each list of the status. Bounds the response size.
+const STATUS_ROWS_MAX: usize = 64;
 
-/// Priority of the requests for which times to wait are told.
-const MOST_URGENT: u32 = 0;
+/// Priority for which waiting times are reported: 0 is the highest.
+const HIGHEST_PRIORITY: u32 = 0;
 
-/// The answer to `/status`.
+/// The response body of `/status`.
 #[derive(Debug, Serialize)]
 struct Status {
     vm: String,
@@ -35,13 +35,13 @@
     limited_upstreams: Vec<LimitedRow>,
 }
 
-/// An upstream that gets no work now.
+/// An upstream that currently receives no requests.
 #[derive(Debug, Serialize)]
 struct WithheldRow {
     upstream: String,
     service: String,
     reason: &'static str,
-    /// Time until it may get some, where that is known.
+    /// Time until it may receive requests again, in milliseconds, if known.
     back_in_ms: Option<u64>,
 }
 
@@ -50,24 +50,25 @@
 struct LimitedRow {
     upstream: String,
     service: String,
-    /// Requests that it takes of all nodes in a thousand seconds.
+    /// Requests per 1000 s that it accepts from the whole fleet.
     per_1000_s: u32,
-    /// Those of them that this node may send.
+    /// This node's share of `per_1000_s`.
     part_per_1000_s: u32,
-    /// Time until this node may send the next, or if it may send none, until any may; none if it may send one now.
+    /// Time until this node may send the next request, in milliseconds; if its share is zero, until any node
+    /// may. `None` if it may send one now.
     back_in_ms: Option<u64>,
 }
 
-/// Answers operators.
+/// Serves `/metrics`, `/events` and `/status`.
 pub async fn operator<A: PlatformAdapter>(
     node: Rc<Node<A>>,
     request: Request<Incoming>,
 ) -> Result<Response<RelayBody>, Infallible> {
-    // What cannot be written as JSON is answered with 500; all of these types can.
+    // A failed serialization is answered with 500; none of these types can fail.
     let (content_type, text) = match request.uri().path() {
         "/metrics" => (TEXT, Some(node.report.metrics.text())),
         "/events" => {
-            (JSON, serde_json::to_string(&node.report.events.page(after(request.uri().query()))).ok())
+            (JSON, serde_json::to_string(&node.report.events.page(events_after(request.uri().query()))).ok())
         }
         "/status" => (JSON, serde_json::to_string(&status(&node)).ok()),
         _ => return Ok(short(StatusCode::NOT_FOUND, TEXT, String::new())),
@@ -78,8 +79,9 @@
     })
 }
 
-/// The event to go on after; 0, the beginning, if the query names none or no number.
-fn after(query: Option<&str>) -> u64 {
+/// The event sequence number after which to continue, from the `after` query parameter; 0 if it is missing or
+/// no number.
+fn events_after(query: Option<&str>) -> u64 {
     let value = query.unwrap_or_default().split('&').find_map(|pair| pair.strip_prefix("after="));
     value.and_then(|value| value.parse().ok()).unwrap_or_default()
 }
@@ -107,9 +109,9 @@
         upstream: state.id().to_string(),
         service: state.record.service.to_string(),
         reason: reason.as_str(),
-        back_in_ms: state.back_in_us(MOST_URGENT, now_us).map(|back_in_us| back_in_us / US_PER_MS),
+        back_in_ms: state.back_in_us(HIGHEST_PRIORITY, now_us).map(|back_in_us| back_in_us / US_PER_MS),
     });
-    rows.take(WITHHELD_ROWS_MAX).collect()
+    rows.take(STATUS_ROWS_MAX).collect()
 }
 
 fn limited_upstreams<A: PlatformAdapter>(node: &Node<A>) -> Vec<LimitedRow> {
@@ -117,7 +119,7 @@
     let pool = node.dispatcher.pool();
     let row = |key| {
         let state = pool.get(key)?;
-        let back_in_us = state.limit().back_in_us(MOST_URGENT, now_us);
+        let back_in_us = state.limit().back_in_us(HIGHEST_PRIORITY, now_us);
         Some(LimitedRow {
             upstream: state.id().to_string(),
             service: state.record.service.to_string(),
@@ -126,5 +128,5 @@
             back_in_ms: back_in_us.map(|back_in_us| back_in_us / US_PER_MS),
         })
     };
-    pool.limited().into_iter().filter_map(row).take(WITHHELD_ROWS_MAX).collect()
+    pool.limited().into_iter().filter_map(row).take(STATUS_ROWS_MAX).collect()
 }
--- a/crates/pointvane-node/src/quarantine.rs
+++ b/crates/pointvane-node/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests under which upstreams crash: asks and tells [`pointvane_dispatch::Quarantine`] on behalf of the attempts of requests.
+//! Checks requests against [`pointvane_dispatch::Quarantine`] before each attempt, and records there whether
+//! the upstream crashed.
 
 use {
     crate::{node::Node, request::CallerRequest},
@@ -8,9 +9,9 @@
 };
 
 impl<A: PlatformAdapter> Node<A> {
-    /// Whether a request may not be sent now, since upstreams crash under it.
+    /// Whether a request is withheld because upstreams have crashed while processing it.
     pub fn is_quarantined(&self, request: &CallerRequest) -> bool {
-        if !self.may_know(request) {
+        if !self.may_have_record(request) {
             return false;
         }
         let turn = self.fleet.trial_turn(request.head_fingerprint());
@@ -19,9 +20,9 @@
         fingerprints.iter().any(|fingerprint| quarantine.refuses(fingerprint, &turn, now_us))
     }
 
-    /// Takes note that a request is sent now; false if it may not be.
+    /// Records that a request is about to be sent. Returns false, and records nothing, if it is quarantined.
     pub fn may_send(&self, request: &CallerRequest, now_us: u64) -> bool {
-        if !self.may_know(request) {
+        if !self.may_have_record(request) {
             return true;
         }
         if self.is_quarantined(request) {
@@ -36,7 +37,9 @@
         true
     }
 
-    /// Takes note of what the end of an attempt says of its request.
+    /// Records what the outcome of an attempt indicates about its request: a crash, or survival.
+    ///
+    /// Times are in microseconds of the monotonic clock.
     pub fn record_evidence(
         &self,
         request: &CallerRequest,
@@ -50,17 +53,17 @@
                 let fingerprints = request.fingerprints().all();
                 fingerprints.map(|fingerprint| quarantine.crashed(fingerprint, began_at_us, ended_at_us))
             }
-            AttemptOutcome::Answered { failed: false } if self.may_know(request) => {
+            AttemptOutcome::Answered { failed: false } if self.may_have_record(request) => {
                 let mut quarantine = self.dispatcher.quarantine();
                 request.fingerprints().all().map(|fingerprint| quarantine.survived(fingerprint, ended_at_us))
             }
             _ => return,
         };
         self.note_quarantine(changes.into_iter().flatten());
-        self.quarantine_news.notify_one();
+        self.quarantine_updates.notify_one();
     }
 
-    /// Notes what changed for requests under which upstreams crash.
+    /// Reports requests that entered or left quarantine.
     pub fn note_quarantine(&self, changes: impl IntoIterator<Item = QuarantineChange>) {
         for change in changes {
             let kind = match change {
@@ -78,8 +81,9 @@
         }
     }
 
-    /// Whether anything may be known of a request; costs next to nothing while no upstream crashes.
-    fn may_know(&self, request: &CallerRequest) -> bool {
+    /// Whether the quarantine may hold a record of a request. Inexpensive while no upstream crashes: the
+    /// fingerprint is then not computed.
+    fn may_have_record(&self, request: &CallerRequest) -> bool {
         self.dispatcher.quarantine().may_know(|| request.head_fingerprint())
     }
 }
--- a/crates/pointvane-node/src/quarantine_loop.rs
+++ b/crates/pointvane-node/src/quarantine_loop.rs
@@ -1,5 +1,8 @@
-//! News of requests under which upstreams crash, between nodes: what is seen goes out at once, what is heard goes on in rounds, and a part
-//! of all that is known goes to one other node now and then. A node that has started or was paused pulls.
+//! Exchanges updates on crash-inducing requests with the other nodes.
+//!
+//! A node broadcasts its own observations at once and forwards received updates in gossip rounds. As
+//! anti-entropy it periodically sends one page of its full state to one other node. A node that has started
+//! or was paused pulls the full state.
 
 use {
     crate::{fleet::Fleet, node::Node},
@@ -13,40 +16,43 @@
     },
 };
 
-/// Time between two rounds of news. With [`ROUND_PEERS`] others a round, all of 1,800 simulated nodes know 1.2 s after the third crash at the worst
-/// (`tests/quarantine_fleet.rs` of `pointvane-dispatch`).
-const ROUND: Duration = Duration::from_millis(200);
-/// Nodes that news go to in each round. Bounds bytes: at the most 10 datagrams of 1.4 KB a second while there are news.
+/// Time between two gossip rounds. With [`ROUND_PEERS`] peers per round, all of 1,800 simulated nodes are
+/// informed within 1.2 s of the third crash in the worst case (`tests/quarantine_fleet.rs` of
+/// `pointvane-dispatch`).
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of peers per gossip round. Bounds the traffic to 10 datagrams of 1.4 KB a second while there are
+/// updates.
 const ROUND_PEERS: usize = 2;
-/// Rounds after which a part of all that is known goes to one other node.
+/// Number of rounds between two pages of the full state.
 const ROUNDS_PER_PAGE: u64 = 5;
-/// Shortest time between two broadcasts of what this node has seen itself. Not measured: many upstreams that crash at once fill one datagram.
-const BROADCAST_PAUSE: Duration = Duration::from_millis(20);
-/// Time between two rounds that says that this process was paused, and may have missed news. Not measured.
-const PAUSED_AFTER_US: u64 = 1_000 * US_PER_MS;
-/// Nodes that are pulled from in a round, until one has answered.
+/// Minimum time between two broadcasts of this node's own observations. Upstreams that crash at the same time
+/// then share one datagram.
+const BROADCAST_INTERVAL_MIN: Duration = Duration::from_millis(20);
+/// Time between two rounds above which this process was paused and may have missed updates, in microseconds.
+const PAUSE_THRESHOLD_US: u64 = 1_000 * US_PER_MS;
+/// Number of peers to pull from in each round, until one has answered.
 const PULL_PEERS: usize = 2;
 
-/// Exchanges news for as long as the process lives.
+/// Exchanges quarantine messages until the process ends.
 pub async fn run<A: PlatformAdapter>(node: Rc<Node<A>>, socket: Rc<UdpSocket>) {
-    tokio::join!(rounds(&node), broadcasts(&node), receive(&node, &socket));
+    tokio::join!(send_rounds(&node), send_broadcasts(&node), receive(&node, &socket));
 }
 
-async fn rounds<A: PlatformAdapter>(node: &Node<A>) {
-    let mut ticks = interval(ROUND);
+async fn send_rounds<A: PlatformAdapter>(node: &Node<A>) {
+    let mut ticks = interval(ROUND_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut round: u64 = 0;
-    let mut before_us = node.now_us();
+    let mut previous_round_us = node.now_us();
     loop {
         ticks.tick().await;
         let now_us = node.now_us();
-        if now_us.saturating_sub(before_us) > PAUSED_AFTER_US {
-            node.fleet.pull_quarantines();
+        if now_us.saturating_sub(previous_round_us) > PAUSE_THRESHOLD_US {
+            node.fleet.request_quarantine_pull();
         }
-        before_us = now_us;
+        previous_round_us = now_us;
         pull(&node.fleet);
-        let news = node.dispatcher.quarantine().take_round(now_us);
-        send(&node.fleet, news, ROUND_PEERS);
+        let updates = node.dispatcher.quarantine().take_round(now_us);
+        send(&node.fleet, updates, ROUND_PEERS);
         round += 1;
         if round.is_multiple_of(ROUNDS_PER_PAGE) {
             node.dispatcher.quarantine().expire(now_us);
@@ -56,46 +62,47 @@
     }
 }
 
-/// Sends what this node itself has seen to all other nodes of a small fleet, to some of a large one, as far as the budget for that goes.
-async fn broadcasts<A: PlatformAdapter>(node: &Node<A>) {
+/// Broadcasts this node's own observations: to all other nodes of a small fleet, to a random sample of a
+/// large one, and to no more than the traffic budget allows.
+async fn send_broadcasts<A: PlatformAdapter>(node: &Node<A>) {
     let mut budget = NewsBudget::new(node.now_us());
     loop {
-        node.quarantine_news.notified().await;
-        let pause_over = Instant::now() + BROADCAST_PAUSE;
+        node.quarantine_updates.notified().await;
+        let next_broadcast_at = Instant::now() + BROADCAST_INTERVAL_MIN;
         loop {
-            let news = node.dispatcher.quarantine().take_urgent(node.now_us());
-            if news.is_empty() {
+            let updates = node.dispatcher.quarantine().take_urgent(node.now_us());
+            if updates.is_empty() {
                 break;
             }
-            broadcast(node, news, &mut budget);
+            broadcast(node, updates, &mut budget);
         }
-        sleep_until(pause_over).await;
+        sleep_until(next_broadcast_at).await;
     }
 }
 
-fn broadcast<A: PlatformAdapter>(node: &Node<A>, news: Vec<SuspectNews>, budget: &mut NewsBudget) {
+fn broadcast<A: PlatformAdapter>(node: &Node<A>, updates: Vec<SuspectNews>, budget: &mut NewsBudget) {
     let others = node.fleet.size() - 1;
-    let wanted = if others <= DIRECT_MAX { others } else { FAN_OUT };
-    let Some(bytes) = encoded(&QuarantineMessage::News(news)) else { return };
-    let peers = budget.take(bytes.len() + codec::UDP_HEAD_BYTES, wanted, node.now_us());
-    for peer in node.fleet.draw_quarantine_peers(peers) {
-        node.fleet.send_quarantine_news(&bytes, peer);
+    let peers_wanted = if others <= DIRECT_MAX { others } else { FAN_OUT };
+    let Some(bytes) = encode(&QuarantineMessage::News(updates)) else { return };
+    let peers = budget.take(bytes.len() + codec::UDP_HEAD_BYTES, peers_wanted, node.now_us());
+    for peer in node.fleet.sample_quarantine_peers(peers) {
+        node.fleet.send_quarantine_update(&bytes, peer);
     }
 }
 
 async fn receive<A: PlatformAdapter>(node: &Node<A>, socket: &UdpSocket) {
     let mut buffer = [0; codec::DATAGRAM_LIMIT_BYTES];
     loop {
-        // As for gossip: an error is about an earlier send, and rubbish is ignored without a line.
+        // As in `gossip_loop.rs`: an error reports an earlier send, and malformed datagrams are not logged.
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
         let Ok(message) = codec::decode::<QuarantineMessage>(&buffer[..length]) else { continue };
         match message {
-            QuarantineMessage::News(news) => {
-                let changes = node.dispatcher.quarantine().receive(&news, node.now_us());
+            QuarantineMessage::News(updates) => {
+                let changes = node.dispatcher.quarantine().receive(&updates, node.now_us());
                 node.note_quarantine(changes);
             }
             QuarantineMessage::Pull => answer_pull(node, from),
-            QuarantineMessage::Pulled => node.fleet.quarantines_pulled(),
+            QuarantineMessage::Pulled => node.fleet.record_pull_answer(),
         }
     }
 }
@@ -107,31 +114,31 @@
 }
 
 fn pull(fleet: &Fleet) {
-    if !fleet.take_pull() {
+    if !fleet.take_pull_round() {
         return;
     }
-    for peer in fleet.draw_quarantine_peers(PULL_PEERS) {
+    for peer in fleet.sample_quarantine_peers(PULL_PEERS) {
         send_to(fleet, &QuarantineMessage::Pull, peer);
     }
 }
 
-fn send(fleet: &Fleet, news: Vec<SuspectNews>, peers: usize) {
-    if news.is_empty() {
+fn send(fleet: &Fleet, updates: Vec<SuspectNews>, peers: usize) {
+    if updates.is_empty() {
         return;
     }
-    let message = QuarantineMessage::News(news);
-    for peer in fleet.draw_quarantine_peers(peers) {
+    let message = QuarantineMessage::News(updates);
+    for peer in fleet.sample_quarantine_peers(peers) {
         send_to(fleet, &message, peer);
     }
 }
 
 fn send_to(fleet: &Fleet, message: &QuarantineMessage, to: SocketAddr) {
-    if let Some(bytes) = encoded(message) {
-        fleet.send_quarantine_news(&bytes, to);
+    if let Some(bytes) = encode(message) {
+        fleet.send_quarantine_update(&bytes, to);
     }
 }
 
-/// A message's bytes. Messages are bounded to a datagram; one that were longer would be lost, as on the way.
-fn encoded(message: &QuarantineMessage) -> Option<Vec<u8>> {
+/// Encodes a message. Messages are kept within a datagram; an oversized one is dropped like a lost datagram.
+fn encode(message: &QuarantineMessage) -> Option<Vec<u8>> {
     codec::encode(message).ok()
 }
--- a/crates/pointvane-node/src/quota.rs
+++ b/crates/pointvane-node/src/quota.rs
@@ -1,4 +1,5 @@
-//! Quotas of client accounts, shared by the requests that take of them and the loop that tells other nodes.
+//! Quotas of client accounts, shared by the requests that consume them and the loop that exchanges them with
+//! other nodes.
 
 use {
     crate::settings::NodeLimits,
@@ -10,22 +11,22 @@
     },
 };
 
-/// The quotas as this node knows them.
+/// Shared handle to this node's view of the quotas.
 #[derive(Clone, Debug)]
 pub struct SharedQuotas(Rc<RefCell<Quotas>>);
 
 impl SharedQuotas {
-    /// Nothing was taken yet.
+    /// Creates quotas without any usage; `now_us` is in microseconds of the monotonic clock.
     pub fn new(limits: &NodeLimits, now_us: u64) -> Self {
         Self(Rc::new(RefCell::new(Quotas::new(limits.quota_window.as_micros() as u64, now_us))))
     }
 
-    /// The quotas, to be changed.
+    /// Borrows the quotas mutably.
     pub fn borrow_mut(&self) -> RefMut<'_, Quotas> {
         self.0.borrow_mut()
     }
 
-    /// Whether a request of an account is admitted; `draw` lies between 0 and 1.
+    /// Decides whether a request of an account is admitted. `draw` is a random number between 0 and 1.
     pub fn admit(
         &self,
         account: &Name,
@@ -38,22 +39,22 @@
     }
 }
 
-/// What one request takes of its account's quota: given back when it is dropped, unless the request was sent.
+/// The charge of one request against its account's quota, refunded on drop unless the request was sent.
 #[derive(Debug)]
 pub struct QuotaCharge {
     quotas: SharedQuotas,
     account: Name,
-    at_us: u64,
+    admitted_at_us: u64,
     spent: Cell<bool>,
 }
 
 impl QuotaCharge {
-    /// A charge of a request that was admitted now.
+    /// Creates the charge of a request that was admitted at `now_us`.
     pub fn new(quotas: &SharedQuotas, account: Name, now_us: u64) -> Self {
-        Self { quotas: quotas.clone(), account, at_us: now_us, spent: Cell::new(false) }
+        Self { quotas: quotas.clone(), account, admitted_at_us: now_us, spent: Cell::new(false) }
     }
 
-    /// Takes note that the request is sent.
+    /// Makes the charge final because the request is being sent.
     pub fn spend(&self) {
         self.spent.set(true);
     }
@@ -62,7 +63,7 @@
 impl Drop for QuotaCharge {
     fn drop(&mut self) {
         if !self.spent.get() {
-            self.quotas.borrow_mut().give_back(&self.account, self.at_us);
+            self.quotas.borrow_mut().give_back(&self.account, self.admitted_at_us);
         }
     }
 }
--- a/crates/pointvane-node/src/quota_loop.rs
+++ b/crates/pointvane-node/src/quota_loop.rs
@@ -1,6 +1,7 @@
-//! Messages between nodes on the quotas of client accounts: reports to coordinators, the shares by which these answer, and heartbeats between coordinators.
+//! Exchanges quota messages of client accounts between nodes: usage reports to coordinators, the shares that
+//! coordinators grant in reply, and heartbeats between coordinators.
 //!
-//! Nothing is sent, and no timer runs, while no request of an account with a quota comes.
+//! Nothing is sent, and no timer runs, while no account with a quota is in use.
 
 use {
     crate::{
@@ -18,23 +19,23 @@
     },
 };
 
-/// Time between two checks for reports and broadcasts that are due.
-const TICK: Duration = Duration::from_millis(100);
+/// Time between two checks for due reports and broadcasts.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Exchanges messages for as long as the process lives.
+/// Exchanges quota messages until the process ends.
 pub async fn run<A: PlatformAdapter>(node: Rc<Node<A>>, socket: Rc<UdpSocket>) {
-    tokio::join!(send(&node), receive(&node, &socket));
+    tokio::join!(send_due(&node), receive(&node, &socket));
 }
 
-async fn send<A: PlatformAdapter>(node: &Node<A>) {
+async fn send_due<A: PlatformAdapter>(node: &Node<A>) {
     loop {
         node.quotas_used.notified().await;
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut coordinators = Coordinators::default();
         while !node.dispatcher.quotas.borrow_mut().is_idle() {
-            coordinators.follow(&node.fleet, &node.dispatcher.quotas);
-            follow_peers(node);
+            coordinators.refresh(&node.fleet, &node.dispatcher.quotas);
+            update_peers(node);
             tokio::select! {
                 _ = ticks.tick() => {
                     send_heartbeats(node);
@@ -42,7 +43,7 @@
                 }
                 () = node.quotas_used.notified() => {}
             }
-            report(node);
+            send_reports(node);
         }
     }
 }
@@ -50,7 +51,7 @@
 async fn receive<A: PlatformAdapter>(node: &Node<A>, socket: &UdpSocket) {
     let mut buffer = [0; codec::DATAGRAM_LIMIT_BYTES];
     loop {
-        // As for gossip: an error is about an earlier send, and rubbish is ignored without a line.
+        // As in `gossip_loop.rs`: an error reports an earlier send, and malformed datagrams are not logged.
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
         let Ok(message) = codec::decode::<QuotaMessage>(&buffer[..length]) else { continue };
         match message {
@@ -62,45 +63,47 @@
             }
             QuotaMessage::Usage { life, accounts } => {
                 let shares = coordinate(node, (from, life), &accounts);
-                send_to(node, &own_shares(node, Segment::NONE, shares), from);
+                send_to(node, &shares_message(node, Segment::NONE, shares), from);
             }
             QuotaMessage::Shares { origin, segment, accounts } => {
                 node.dispatcher.quotas.borrow_mut().receive_shares(origin, &accounts, node.now_us());
-                pass_on(node, origin, segment, &accounts);
+                forward(node, origin, segment, &accounts);
             }
         }
     }
 }
 
-/// The coordinators of the accounts that this node uses, as of some change of the membership.
+/// The coordinators of the accounts that this node uses, as of a membership change.
 #[derive(Default)]
 struct Coordinators {
+    /// [`Fleet::membership_changes`] at the last refresh.
     as_of: u64,
     by_account: HashMap<Name, Vec<CoordinatorNode>>,
 }
 
 impl Coordinators {
-    /// Has the accounts reported again that other nodes coordinate since the membership changed.
-    fn follow(&mut self, fleet: &Fleet, quotas: &SharedQuotas) {
-        if self.as_of == fleet.changes() {
+    /// Recomputes the coordinators after a membership change, and schedules a new report of the accounts
+    /// whose coordinators changed.
+    fn refresh(&mut self, fleet: &Fleet, quotas: &SharedQuotas) {
+        if self.as_of == fleet.membership_changes() {
             return;
         }
-        self.as_of = fleet.changes();
+        self.as_of = fleet.membership_changes();
         quotas.borrow_mut().forget_peers();
         let accounts: Vec<Name> = quotas.borrow_mut().accounts().cloned().collect();
-        let before = mem::take(&mut self.by_account);
+        let previous = mem::take(&mut self.by_account);
         for account in accounts {
-            let now = fleet.coordinators(&account);
-            if before.get(&account) != Some(&now) {
+            let current = fleet.coordinators(&account);
+            if previous.get(&account) != Some(&current) {
                 quotas.borrow_mut().report_again(&account);
             }
-            self.by_account.insert(account, now);
+            self.by_account.insert(account, current);
         }
     }
 }
 
-/// Looks up who else coordinates the accounts that this node coordinates.
-fn follow_peers<A: PlatformAdapter>(node: &Node<A>) {
+/// Looks up the other coordinator of each account that this node coordinates.
+fn update_peers<A: PlatformAdapter>(node: &Node<A>) {
     let accounts = node.dispatcher.quotas.borrow_mut().accounts_without_peer();
     for account in accounts {
         let peer = node.fleet.coordinators(&account).into_iter().find_map(CoordinatorNode::other);
@@ -117,15 +120,15 @@
     QuotaMessage::Heartbeat { origin: node.fleet.own_quota_address(), wants_reply }
 }
 
-/// Tells the coordinators of accounts what this node uses of them.
-fn report<A: PlatformAdapter>(node: &Node<A>) {
+/// Reports this node's usage of accounts to their coordinators.
+fn send_reports<A: PlatformAdapter>(node: &Node<A>) {
     let reports = node.dispatcher.quotas.borrow_mut().take_reports(node.now_us());
     let mut by_node: HashMap<SocketAddr, Vec<AccountUsage>> = HashMap::new();
-    let mut own = Vec::new();
+    let mut own_usages = Vec::new();
     for usage in reports {
         for coordinator in node.fleet.coordinators(&usage.account) {
             match coordinator {
-                CoordinatorNode::Own => own.push(usage.clone()),
+                CoordinatorNode::Own => own_usages.push(usage.clone()),
                 CoordinatorNode::Other(address) => by_node.entry(address).or_default().push(usage.clone()),
             }
         }
@@ -136,14 +139,15 @@
             send_to(node, &QuotaMessage::Usage { life, accounts: accounts.to_vec() }, address);
         }
     }
-    if !own.is_empty() {
+    if !own_usages.is_empty() {
         let address = node.settings().gossip;
-        let shares = coordinate(node, (address, life), &own);
+        let shares = coordinate(node, (address, life), &own_usages);
         node.dispatcher.quotas.borrow_mut().receive_shares(address, &shares, node.now_us());
     }
 }
 
-/// Takes what a life of a node uses of accounts that this node coordinates; gives the shares that answer it.
+/// Records the usage reported by a node, identified by its address and incarnation, for the accounts that
+/// this node coordinates. Returns the shares to reply with.
 fn coordinate<A: PlatformAdapter>(
     node: &Node<A>,
     reporter: (SocketAddr, u64),
@@ -154,7 +158,7 @@
     let routes = node.dispatcher.routes();
     let mut quotas = node.dispatcher.quotas.borrow_mut();
     let share = |usage: &AccountUsage| {
-        // An account that this node does not know yet, or no more, is left to the other coordinator.
+        // An account that is not in this node's configuration is left to the other coordinator.
         let quota = routes.quota(&usage.account)?;
         quotas.coordinate(reporter, usage, quota, contact, now_us)
     };
@@ -163,7 +167,7 @@
     shares
 }
 
-/// Tells all nodes the shares that they have to learn now.
+/// Broadcasts the shares that are due to all nodes.
 fn broadcast<A: PlatformAdapter>(node: &Node<A>) {
     let now_us = node.now_us();
     let contact = node.fleet.contact(&node.settings(), now_us);
@@ -171,12 +175,12 @@
     let origin = node.settings().gossip;
     node.dispatcher.quotas.borrow_mut().receive_shares(origin, &shares, now_us);
     for accounts in shares.chunks(ACCOUNTS_MAX) {
-        pass_on(node, origin, Segment::ALL, accounts);
+        forward(node, origin, Segment::ALL, accounts);
     }
 }
 
-/// Sends shares to the few nodes by which all in a segment receive them.
-fn pass_on<A: PlatformAdapter>(
+/// Forwards shares to the next nodes of the broadcast tree, each of which covers a part of the segment.
+fn forward<A: PlatformAdapter>(
     node: &Node<A>,
     origin: SocketAddr,
     segment: Segment,
@@ -190,7 +194,7 @@
     }
 }
 
-fn own_shares<A: PlatformAdapter>(
+fn shares_message<A: PlatformAdapter>(
     node: &Node<A>,
     segment: Segment,
     accounts: Vec<AccountShare>,
@@ -198,7 +202,7 @@
     QuotaMessage::Shares { origin: node.settings().gossip, segment, accounts }
 }
 
-/// Sends a message. Messages are bounded to a datagram; one that were longer would be lost, as on the way.
+/// Sends a message. Messages are kept within a datagram; an oversized one is dropped like a lost datagram.
 fn send_to<A: PlatformAdapter>(node: &Node<A>, message: &QuotaMessage, to: SocketAddr) {
     if let Ok(bytes) = codec::encode(message) {
         node.fleet.send_quotas(&bytes, to);
--- a/crates/pointvane-node/src/reader_roles.rs
+++ b/crates/pointvane-node/src/reader_roles.rs
@@ -1,4 +1,5 @@
-//! Which nodes read the platform for all: chosen by all alike, over the members that each knows.
+//! Selects the nodes that read the platform for the fleet. Every node computes the same selection from the
+//! members it knows.
 
 use {
     pointvane_core::Name,
@@ -7,14 +8,14 @@
     std::net::SocketAddr,
 };
 
-/// Nodes that watch the platform for all: two, so that one may fail. Not measured at other values.
+/// Number of nodes that watch the platform for the fleet: two, so that one may fail.
 const WATCHERS: usize = 2;
-/// Nodes that read the platform when no watcher is heard. Not measured at other values.
+/// Number of nodes that read the platform when no relay of a watcher arrives.
 const STANDBYS: usize = 4;
-/// What readers are ranked for. A name on the wire: nodes of all versions must rank alike.
-const READER_SUBJECT: &str = "platform";
+/// Rendezvous hash key for the order of readers. Nodes of all versions must use the same key.
+const READER_HASH_KEY: &str = "platform";
 
-/// What this node does for the others' reading of the platform.
+/// This node's role in reading the platform for the fleet.
 pub fn role(membership: &Membership) -> ReaderRole {
     match position(membership, &membership.me().identity.name) {
         Some(position) if position < WATCHERS => ReaderRole::Watcher,
@@ -23,7 +24,9 @@
     }
 }
 
-/// Whether the node at an address precedes this one as a reader: chosen ones in their order, then the others by address.
+/// Whether the node at the gossip address `origin` precedes this one as a reader.
+///
+/// Selected readers come first, in their order; all other nodes follow, ordered by address.
 pub fn precedes(membership: &Membership, origin: SocketAddr) -> bool {
     let order = |row: &MemberRow| {
         let position = position(membership, &row.identity.name);
@@ -33,8 +36,8 @@
     other.is_some_and(|other| order(other) < order(membership.me()))
 }
 
-/// The place of a node among the chosen readers, from 0; none if it is not one.
+/// The index of a node among the selected readers; `None` if it is not one of them.
 fn position(membership: &Membership, node: &Name) -> Option<usize> {
-    let readers = choose_readers(READER_SUBJECT, membership.rows(), WATCHERS + STANDBYS);
+    let readers = choose_readers(READER_HASH_KEY, membership.rows(), WATCHERS + STANDBYS);
     readers.iter().position(|name| name == node)
 }
--- a/crates/pointvane-node/src/replica/platform_client.rs
+++ b/crates/pointvane-node/src/replica/platform_client.rs
@@ -1,7 +1,7 @@
-//! The node's client for the platform: one kept connection, one call at a time.
+//! HTTP client for the platform: one persistent connection, one call at a time.
 //!
-//! Owns the connection. Formats of calls and answers are the adapter's; when to call is decided by
-//! [`pointvane_dispatch::PlatformReader`].
+//! Owns the connection. The adapter defines the formats of calls and responses;
+//! [`pointvane_dispatch::PlatformReader`] decides when to call.
 
 use {
     crate::{connections::RelayBody, socket},
@@ -19,22 +19,23 @@
     tokio::{task::spawn_local, time::timeout},
 };
 
-/// Longest time for a new connection. Not measured: as long as an answer may take.
+/// Maximum time to open a connection: as long as a response may take to begin.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest time between two pieces of an answer's body. Not measured: as long as its first byte may take.
+/// Maximum time between two chunks of a response body: as long as its first byte may take.
 const PROGRESS_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest time for the body of an answer. Worked out, not measured: a value of a megabyte in base64 takes 1.1 s at 10 Mbit/s; four
-/// times that leaves room for other traffic on the link. Peers are queried beside it, and after it everything is read anew.
+/// Maximum time to read a response body. A value of 1 MB in base64 takes 1.1 s at 10 Mbit/s; four times that
+/// leaves room for other traffic on the link. Peers are queried in the meantime, and after a time-out
+/// everything is read again.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(4_500);
 
-/// What a call is for.
+/// The purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// Changes, waited for or not.
+    /// Reads changes, with or without a long poll.
     Changes,
-    /// Everything, of which this is the first page.
+    /// Reads the first page of a snapshot.
     Everything,
-    /// A further page of everything.
+    /// Reads a further page of a snapshot.
     Page,
 }
 
@@ -49,22 +50,22 @@
     }
 }
 
-/// Why a call gave no answer that can be used.
+/// The reason why a call returned no usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection came up.
+    /// The connection could not be opened.
     Unreachable,
-    /// No head of an answer came in time, or the connection broke before it.
+    /// No response head arrived in time, or the connection failed before it.
     NoAnswer,
-    /// The answer's body broke off, or did not come whole in time.
+    /// The response body was truncated or did not complete in time.
     BrokenOff,
-    /// The answer's body is longer than the caller of the client reads.
+    /// The response body exceeds the caller's size limit.
     TooLong,
-    /// The platform refused the call.
+    /// The platform responded with an error status.
     Refused,
-    /// The platform no longer holds the changes since the revision that is known.
+    /// The platform no longer holds the changes since the requested revision.
     HistoryGone,
-    /// The answer is too long, or cannot be understood.
+    /// The response, or the call's target, cannot be parsed.
     Malformed,
 }
 
@@ -82,7 +83,7 @@
         }
     }
 
-    /// What the reader is told: it treats all that may pass alike.
+    /// The failure to report to the reader, which treats all transient failures alike.
     pub const fn failure(self) -> CallFailure {
         match self {
             Self::Unreachable | Self::NoAnswer | Self::Refused => CallFailure::Unavailable,
@@ -94,13 +95,13 @@
     }
 }
 
-/// The client; a connection on which a call failed is not used again.
+/// The client. A connection on which a call failed is not reused.
 #[derive(Debug, Default)]
 pub struct PlatformClient {
     connection: Option<SendRequest<RelayBody>>,
 }
 
-/// An answer whose head has come.
+/// A response whose head has been received.
 #[derive(Debug)]
 pub struct PlatformAnswer {
     status: StatusCode,
@@ -109,10 +110,10 @@
 }
 
 impl PlatformClient {
-    /// Calls the platform, and waits for the head of its answer.
+    /// Calls the platform and waits for the head of its response.
     ///
     /// # Errors
-    /// A [`CallError`] when none comes within the time-out.
+    /// Returns a [`CallError`] if the connection cannot be opened or no head arrives within `call_timeout`.
     pub async fn call(
         &mut self,
         address: SocketAddr,
@@ -124,19 +125,20 @@
             _ => open(address).await?,
         };
         let request = Request::get(target).header(HOST, address.to_string());
-        // The target comes from the adapter; one that is no URI is as bad as an answer that cannot be understood.
+        // The target comes from the adapter; an invalid URI is treated like a malformed response.
         let request = request.body(RelayBody::whole(Bytes::new())).map_err(|_| CallError::Malformed)?;
         let answer = timeout(call_timeout, connection.send_request(request)).await;
         let (head, body) = answer.ok().and_then(Result::ok).ok_or(CallError::NoAnswer)?.into_parts();
         Ok(PlatformAnswer { status: head.status, body, connection })
     }
 
-    /// Reads the body of an answer of at most `bytes_max` as long as it goes on coming, within [`TRANSFER_TIMEOUT`].
+    /// Reads a response body of at most `bytes_max` bytes within [`TRANSFER_TIMEOUT`], while it makes
+    /// progress.
     ///
     /// # Errors
-    /// A [`CallError`] when it is longer, does not come whole, or is no success.
+    /// Returns a [`CallError`] if the body is too long or incomplete, or the status is not 200.
     pub async fn read(&mut self, answer: PlatformAnswer, bytes_max: usize) -> Result<Bytes, CallError> {
-        let body = timeout(TRANSFER_TIMEOUT, gather_steadily(answer.body, bytes_max)).await;
+        let body = timeout(TRANSFER_TIMEOUT, read_body(answer.body, bytes_max)).await;
         let body = body.map_err(|_| CallError::BrokenOff)??;
         self.connection = Some(answer.connection);
         match answer.status {
@@ -146,14 +148,15 @@
         }
     }
 
-    /// Closes the connection: an answer may be under way on it, or lost.
+    /// Closes the connection, on which a response may still be outstanding.
     pub fn close(&mut self) {
         self.connection = None;
     }
 }
 
-/// Reads a body piece by piece; fails when none comes for [`PROGRESS_TIMEOUT`], and at once when it is announced to be too long.
-async fn gather_steadily(mut body: Incoming, bytes_max: usize) -> Result<Bytes, CallError> {
+/// Reads a body in chunks. Fails if no chunk arrives for [`PROGRESS_TIMEOUT`], and immediately if the
+/// declared length is too long.
+async fn read_body(mut body: Incoming, bytes_max: usize) -> Result<Bytes, CallError> {
     if body.size_hint().lower() > bytes_max as u64 {
         return Err(CallError::TooLong);
     }
@@ -161,12 +164,12 @@
     loop {
         let frame = timeout(PROGRESS_TIMEOUT, body.frame()).await.map_err(|_| CallError::BrokenOff)?;
         let Some(frame) = frame else { return Ok(bytes.freeze()) };
-        // Trailers are no part of the answer.
-        let Ok(piece) = frame.map_err(|_| CallError::BrokenOff)?.into_data() else { continue };
-        if bytes.len() + piece.len() > bytes_max {
+        // Trailers are ignored.
+        let Ok(chunk) = frame.map_err(|_| CallError::BrokenOff)?.into_data() else { continue };
+        if bytes.len() + chunk.len() > bytes_max {
             return Err(CallError::TooLong);
         }
-        bytes.extend_from_slice(&piece);
+        bytes.extend_from_slice(&chunk);
     }
 }
 
--- a/crates/pointvane-node/src/replica/platform_reader.rs
+++ b/crates/pointvane-node/src/replica/platform_reader.rs
@@ -1,4 +1,5 @@
-//! Carries out the calls that [`pointvane_dispatch::PlatformReader`] asks for, and puts their answers in force.
+//! Performs the calls and queries that [`pointvane_dispatch::PlatformReader`] requests, and applies their
+//! results.
 
 use {
     crate::{
@@ -16,29 +17,30 @@
     tokio::time::timeout,
 };
 
-/// Largest page of a read of everything that is read, in bytes. Bounds memory.
+/// Maximum size of a snapshot page, in bytes. Bounds memory.
 const PAGE_BYTES_MAX: usize = 8 << 20;
-/// The value of the label `reason` for a call that this node gave up, since peers have read on.
+/// Value of the label `reason` for a watch that this node cancelled because peers have read a later revision.
 const GIVEN_UP: &str = "given-up";
 
-/// Reads the platform, and queries peers, for as long as the process lives.
+/// Reads the platform and queries peers until the process ends.
 pub async fn read<A: PlatformAdapter>(node: Rc<Node<A>>) {
     tokio::join!(call_platform(&node), query_peers(&node));
 }
 
-/// Queries peers for what this node is known to lack.
+/// Queries peers for platform state that this node is known to lack.
 async fn query_peers<A: PlatformAdapter>(node: &Node<A>) {
     loop {
         let call = node.platform.state_mut().next_query(node.now_us());
         match call {
             ReaderQuery::Peer(query) => {
                 query_peer(node, &query).await;
-                node.platform.tell_news();
+                node.platform.notify_if_behind();
             }
             ReaderQuery::Wait { until_us } => {
                 let wait = Duration::from_micros(until_us.saturating_sub(node.now_us()));
-                // Ends early when peers have read more; either way the reader says what is next.
-                _ = timeout(wait, node.platform.news()).await;
+                // Ends early when peers have read a later revision; either way the reader decides the next
+                // step.
+                _ = timeout(wait, node.platform.until_behind()).await;
             }
         }
     }
@@ -51,7 +53,8 @@
         match call {
             ReaderCall::Wait { until_us } => {
                 let wait = Duration::from_micros(until_us.saturating_sub(node.now_us()));
-                // Ends early when the platform is known to hold more; either way the reader says what is next.
+                // Ends early when the platform is known to hold a later revision; either way the reader
+                // decides the next step.
                 _ = timeout(wait, node.platform.interrupted()).await;
             }
             ReaderCall::QueryPeer(query) => query_peer(node, &query).await,
@@ -76,7 +79,7 @@
     }
 }
 
-/// Counts a call to the platform, and writes a line unless it is a watcher's usual one.
+/// Counts a call to the platform, and writes a line unless it is a watcher's regular watch.
 fn note_call<A: PlatformAdapter>(node: &Node<A>, kind: CallKind, reason: CallReason) {
     node.report.called_platform(kind, reason);
     if reason != CallReason::Watching {
@@ -93,15 +96,15 @@
     }
 }
 
-/// Queries another node for what it knows of the platform.
+/// Queries another node for platform state and applies the reply.
 async fn query_peer<A: PlatformAdapter>(node: &Node<A>, query: &PeerQuery) {
     let peers = node.fleet.peers_to_query(query.target, &node.settings());
     let reply = match peers.is_empty() {
         true => Err(QueryError::NoPeer),
-        false => ask(node, &peers, query).await,
+        false => query_first_reachable(node, &peers, query).await,
     };
     let (peer, reply) = match reply {
-        Ok(answered) => answered,
+        Ok(peer_reply) => peer_reply,
         Err(error) => {
             node.report.query_failed(error.as_str());
             let (mut state, now_us) = (node.platform.state_mut(), node.now_us());
@@ -125,8 +128,8 @@
     node.apply(changes);
 }
 
-/// The answer of the first of some peers that can be reached, with that peer.
-async fn ask<A: PlatformAdapter>(
+/// Counts a query and returns the reply of the first reachable peer, together with its address.
+async fn query_first_reachable<A: PlatformAdapter>(
     node: &Node<A>,
     peers: &[SocketAddr],
     query: &PeerQuery,
@@ -135,14 +138,14 @@
     state_query::query_first(peers, query).await
 }
 
-/// Reads one page of everything.
+/// Reads one page of a snapshot.
 async fn read_snapshot<A: PlatformAdapter>(
     node: &Node<A>,
     client: &mut PlatformClient,
     target: &str,
     call_timeout: Duration,
 ) {
-    let first = node.platform.mark().revision == 0;
+    let first_read = node.platform.mark().revision == 0;
     let answer = match call(node, client, target, call_timeout).await {
         Ok(answer) => {
             node.platform.state_mut().answer_began(node.now_us());
@@ -150,7 +153,7 @@
         }
         Err(error) => Err(error),
     };
-    let Some(page) = decoded(node, client, answer, A::snapshot) else { return };
+    let Some(page) = decode_page(node, client, answer, A::snapshot) else { return };
     let changes = {
         let pool = node.dispatcher.pool();
         node.platform.state_mut().page_read(page, pool.listed(), node.now_us())
@@ -168,14 +171,14 @@
     if mark.revision > 0 && node.dispatcher.routes().version() == 0 {
         node.note_no_configuration(mark.revision);
     }
-    // At the first start of all every node reads, and none needs another's relay.
-    if !first && node.platform.state().broadcasts() {
+    // When the whole fleet starts for the first time, every node reads the platform and needs no relay.
+    if !first_read && node.platform.state().broadcasts() {
         node.send_relay();
     }
 }
 
-/// Waits for changes; ends early when the platform is known to hold more and nothing of an answer comes, since the watch then
-/// hangs.
+/// Waits for changes. The watch is cancelled as stalled when the platform is known to hold a later revision
+/// but no response head arrives.
 async fn watch<A: PlatformAdapter>(
     node: &Node<A>,
     client: &mut PlatformClient,
@@ -199,7 +202,7 @@
         }
         Err(error) => Err(error),
     };
-    let Some(page) = decoded(node, client, answer, A::changes) else { return };
+    let Some(page) = decode_page(node, client, answer, A::changes) else { return };
     let changes = node.platform.state_mut().watch_answered(page, node.now_us());
     node.apply(changes);
     if node.platform.state().broadcasts() {
@@ -217,14 +220,15 @@
     client.call(address, target, call_timeout).await
 }
 
-/// The page in an answer; none if there is no usable answer, of which the reader takes note.
-fn decoded<A: PlatformAdapter>(
+/// Decodes the page in a response. If there is no usable response, reports the failure to the reader and
+/// returns `None`.
+fn decode_page<A: PlatformAdapter>(
     node: &Node<A>,
     client: &mut PlatformClient,
     answer: Result<Bytes, CallError>,
     decode: impl Fn(&A, &[u8]) -> Result<ChangePage, MalformedReply>,
 ) -> Option<ChangePage> {
-    // Why it cannot be understood is dropped: whatever it was, the reader reads everything anew, which shows on the time line.
+    // The parse error is dropped: in any case the reader reads everything again, which the event log shows.
     let page = answer.and_then(|body| {
         node.platform.state_mut().answer_came(body.len());
         decode(&node.adapter, &body).map_err(|_| CallError::Malformed)
--- a/crates/pointvane-node/src/replica/platform_state.rs
+++ b/crates/pointvane-node/src/replica/platform_state.rs
@@ -1,6 +1,6 @@
-//! What a node has read of the platform, and the signal that a rest or a watch is to end.
+//! The platform state that a node has read, and the signal that ends a pause or a watch early.
 //!
-//! Owns the reader's state; `platform_reader.rs` carries out the calls that it asks for.
+//! Owns the reader's state; `platform_reader.rs` performs the calls that it requests.
 
 use {
     crate::settings::NodeSettings,
@@ -13,43 +13,45 @@
     tokio::{sync::Notify, time::timeout},
 };
 
-/// Time over which nodes that are no seeds read the platform themselves after a start, in milliseconds.
+/// Time over which the platform reads of non-seed nodes are spread after a start, in milliseconds.
 const START_SPREAD_MS: u64 = 2_000;
-/// Longest time to the first byte of a peer's answer after a start, in milliseconds: a peer that has just started too answers when it
-/// knows something, or after 200 ms.
+/// Maximum time to the first byte of a peer's reply after a start, in milliseconds. A peer that has just
+/// started as well replies as soon as it has state, or after 200 ms.
 const START_TIMEOUT_MS: u64 = 250;
-/// Pause between two queries of peers after a start, in milliseconds: hundreds of nodes query a few at first.
+/// Pause between two queries of peers after a start, in milliseconds: at first, hundreds of nodes query a
+/// few.
 const START_PAUSE_MS: u64 = 20;
 
-/// What a node has read of the platform.
+/// The platform state that a node has read.
 #[derive(Debug)]
 pub struct PlatformState {
     reader: RefCell<PlatformReader>,
-    /// Whoever pauses or waits looks again at what is to be done.
-    news: Notify,
-    /// Requests that were held go on: the configuration and the upstreams are known.
+    /// Notified when peers have read a later revision than this node.
+    behind: Notify,
+    /// Notified when the configuration and the upstreams have been read, so that held requests can proceed.
     state_known: Notify,
     whole_states: RefCell<WholeStateLimit>,
     shared_answer: RefCell<SharedAnswer>,
 }
 
-/// The whole state that was encoded last, for as long as it is being sent to any node.
+/// The most recently encoded full state. The frame is freed once no transfer uses it.
 #[derive(Debug, Default)]
 struct SharedAnswer {
-    /// What the node that it was encoded for knew.
+    /// The mark in the query that it was encoded for.
     known: ReadMark,
-    /// What is known after it.
+    /// The mark of the encoded state.
     mark: ReadMark,
     frame: Weak<Vec<u8>>,
 }
 
-/// An answer to another node's query that is being sent; counted until it is dropped.
+/// Permit to answer a query of another node. Answers with the full state count against a limit until the
+/// permit is dropped.
 #[derive(Debug)]
-pub struct AnswerUnderWay<'s> {
+pub struct AnswerPermit<'s> {
     limit: Option<&'s RefCell<WholeStateLimit>>,
 }
 
-impl Drop for AnswerUnderWay<'_> {
+impl Drop for AnswerPermit<'_> {
     fn drop(&mut self) {
         if let Some(limit) = self.limit {
             limit.borrow_mut().end();
@@ -58,11 +60,11 @@
 }
 
 impl PlatformState {
-    /// Nothing was read yet.
+    /// Creates the state before the first read.
     pub fn new(settings: &NodeSettings, seed: u64) -> Self {
         Self {
             reader: RefCell::new(PlatformReader::new(reader_options(settings), seed)),
-            news: Notify::new(),
+            behind: Notify::new(),
             state_known: Notify::new(),
             whole_states: RefCell::default(),
             shared_answer: RefCell::default(),
@@ -74,63 +76,65 @@
         self.reader.borrow()
     }
 
-    /// The reader's state, to be changed.
+    /// The reader's state, mutably.
     pub fn state_mut(&self) -> RefMut<'_, PlatformReader> {
         self.reader.borrow_mut()
     }
 
-    /// Begins an answer to another node's query; none if this node sends as many whole states as it may.
-    pub fn begin_answer(&self, whole: bool) -> Option<AnswerUnderWay<'_>> {
+    /// Begins an answer to a query of another node. Returns `None` if the limit of concurrent full states is
+    /// reached.
+    pub fn begin_answer(&self, whole: bool) -> Option<AnswerPermit<'_>> {
         let limit = whole.then_some(&self.whole_states);
-        let may = limit.is_none_or(|limit| limit.borrow_mut().begin());
-        may.then_some(AnswerUnderWay { limit })
+        let allowed = limit.is_none_or(|limit| limit.borrow_mut().begin());
+        allowed.then_some(AnswerPermit { limit })
     }
 
-    /// The whole state for a node that knows so much, if one is being sent that is up to date.
+    /// The encoded full state for a node whose mark is `known`, if a current one is being sent to another
+    /// node.
     pub fn shared_answer(&self, known: ReadMark) -> Option<Rc<Vec<u8>>> {
         let shared = self.shared_answer.borrow();
-        let fits = shared.known == known && shared.mark == self.mark();
-        shared.frame.upgrade().filter(|_| fits)
+        let is_current = shared.known == known && shared.mark == self.mark();
+        shared.frame.upgrade().filter(|_| is_current)
     }
 
-    /// Keeps a whole state for as long as it is being sent.
+    /// Shares an encoded full state for as long as it is being sent.
     pub fn share_answer(&self, known: ReadMark, frame: &Rc<Vec<u8>>) {
         let shared = SharedAnswer { known, mark: self.mark(), frame: Rc::downgrade(frame) };
         self.shared_answer.replace(shared);
     }
 
-    /// How far the platform is read; zeros before the first read.
+    /// The revision and version that have been read; zeros before the first read.
     pub fn mark(&self) -> ReadMark {
         self.reader.borrow().mark()
     }
 
-    /// Ends pauses and hung watches if peers have read more.
-    pub fn tell_news(&self) {
+    /// Ends pauses and stalled watches if peers have read a later revision.
+    pub fn notify_if_behind(&self) {
         if self.reader.borrow().is_behind() {
-            self.news.notify_waiters();
+            self.behind.notify_waiters();
         }
     }
 
-    /// Lets requests go on that were held.
-    pub fn tell_state(&self) {
+    /// Releases the requests that are held until the first state is known.
+    pub fn notify_state_known(&self) {
         self.state_known.notify_waiters();
     }
 
-    /// Returns once the configuration and the upstreams are known, or after a time.
-    pub async fn first_state(&self, longest: Duration) {
-        // Whether it came in time shows in what is known then.
-        _ = timeout(longest, self.state_known.notified()).await;
+    /// Returns once the configuration and the upstreams are known, or after `max_wait`.
+    pub async fn first_state(&self, max_wait: Duration) {
+        // The result is ignored: callers check the state afterwards.
+        _ = timeout(max_wait, self.state_known.notified()).await;
     }
 
-    /// Returns once peers are known to have read more.
-    pub async fn news(&self) {
-        self.news.notified().await;
+    /// Returns once peers are known to have read a later revision.
+    pub async fn until_behind(&self) {
+        self.behind.notified().await;
     }
 
-    /// Returns once a pause, or a watch that hangs, is to end.
+    /// Returns once a pause or a stalled watch must end.
     pub async fn interrupted(&self) {
         loop {
-            self.news.notified().await;
+            self.behind.notified().await;
             if self.reader.borrow().is_to_be_interrupted() {
                 return;
             }
@@ -138,7 +142,8 @@
     }
 }
 
-/// Seeds read the platform soon, as others start with them; these wait for what the seeds have read.
+/// Reader options by the node's role at startup. Seeds read the platform early, as other nodes start from
+/// them; non-seed nodes wait for the state that the seeds have read.
 fn reader_options(settings: &NodeSettings) -> ReaderOptions {
     let defaults = ReaderOptions::default();
     match (settings.first_start, settings.seeds.contains(&settings.gossip)) {
--- a/crates/pointvane-node/src/replica/publication.rs
+++ b/crates/pointvane-node/src/replica/publication.rs
@@ -1,4 +1,4 @@
-//! Puts changes of the platform in force, and records load reports of upstreams.
+//! Applies changes from the platform, and records load reports of upstreams.
 
 use {
     crate::node::Node,
@@ -12,7 +12,7 @@
 };
 
 impl<A: PlatformAdapter> Node<A> {
-    /// Records the load report of an answer; none if the answer carried none, or one that cannot be read.
+    /// Records the load report of a response; `None` if it carried no report or an invalid one.
     pub fn record_load(&self, key: UpstreamKey, load: Option<UpstreamLoad>) {
         match load {
             Some(load) => self.dispatcher.pool_mut().record_load(key, load, self.now_us()),
@@ -20,16 +20,16 @@
         }
     }
 
-    /// The load report in an answer's headers.
+    /// Parses the load report in the headers of a response.
     ///
-    /// One that cannot be read counts as none: the answer is good all the same, and the upstream is then ranked by this
-    /// node's own latencies.
+    /// An invalid report counts as absent: the response is still valid, and the upstream is then ranked by
+    /// the latencies that this node observed.
     pub fn load_report(&self, headers: &HeaderMap) -> Option<UpstreamLoad> {
         let text = headers.get(&self.headers.load)?.to_str().ok()?;
         self.adapter.load(text)
     }
 
-    /// Puts changes in force.
+    /// Applies changes, then updates the budgets and this node's readiness.
     pub fn apply(&self, changes: Vec<Change>) {
         for change in changes {
             match change {
@@ -43,7 +43,7 @@
         self.share_budgets();
         self.publish_entry();
         if self.knows_platform() {
-            self.platform.tell_state();
+            self.platform.notify_state_known();
         }
     }
 
@@ -58,7 +58,8 @@
         let born_ms = record.born_ms;
         if self.dispatcher.pool_mut().upsert(record, self.now_us()) {
             if let Some(before) = before.filter(|before| before.born_ms != born_ms) {
-                // Kept connections to the former life have ended with it; behind a cut nothing has told so.
+                // Idle connections to the previous process are dead. Across a network partition no FIN or RST
+                // announced it.
                 self.dispatcher.connections.discard(before.address);
             }
             self.report.note_bounded(self.now_us(), kind);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Forgets upstreams whose entries expired during an outage of the store and did not come back.
+    /// Removes upstreams whose entries expired during a store outage and were not restored.
     pub fn forget_expired(&self) {
         let expired = self.dispatcher.pool_mut().forget_expired(self.now_us());
         for upstream in expired {
@@ -87,7 +88,8 @@
         }
     }
 
-    /// A node never goes back to an older configuration within its life.
+    /// Applies a configuration unless it is older than the current one: a running node never goes back to an
+    /// older version.
     fn apply_configuration(&self, configuration: RoutingConfiguration) {
         let (revision, index) = (configuration.version, self.platform.mark().revision);
         if self.dispatcher.accept_configuration(configuration) {
@@ -95,7 +97,8 @@
         }
     }
 
-    /// Puts in force what changed of the configuration; if that does not fit, everything is read anew.
+    /// Applies configuration deltas. If they do not match the current version, requests a new read of
+    /// everything.
     fn apply_deltas(&self, deltas: Vec<RoutingDelta>) {
         let index = self.platform.mark().revision;
         let accepted = self.dispatcher.accept_deltas(deltas);
@@ -104,20 +107,20 @@
             Ok(()) => self.report.note(EventKind::ConfigurationAccepted { revision, index }),
             Err(mismatch) => {
                 self.platform.state_mut().configuration_missing(revision);
-                let reason = format!("changes do not fit the version in force: {mismatch:?}");
+                let reason = format!("deltas do not match the current version: {mismatch:?}");
                 self.report.note(EventKind::ConfigurationRefused { revision, index, reason });
             }
         }
     }
 
-    /// Notes that everything was read and no configuration can be used: this node serves nobody.
+    /// Reports that a full read contained no usable configuration, so that this node cannot serve requests.
     pub fn note_no_configuration(&self, index: u64) {
-        self.report.lacks_configuration();
-        let reason = "the platform holds none that can be used".into();
+        self.report.missing_configuration();
+        let reason = "the platform holds no usable configuration".into();
         self.report.note(EventKind::ConfigurationRefused { revision: 0, index, reason });
     }
 
-    /// Notes items, or parts of them, that could not be understood.
+    /// Reports items, or parts of items, that were rejected as invalid.
     pub fn note_refused_items(&self, refused: impl IntoIterator<Item = RefusedItem>) {
         for RefusedItem { key, fault, problem } in refused {
             self.report.refused_item(fault);
--- a/crates/pointvane-node/src/replica/relay_loop.rs
+++ b/crates/pointvane-node/src/replica/relay_loop.rs
@@ -1,4 +1,4 @@
-//! Relays over UDP: what watchers read of the platform, passed on from node to node.
+//! Relays over UDP: platform changes read by watchers, forwarded from node to node.
 
 use {
     crate::node::Node,
@@ -9,12 +9,12 @@
     tokio::{net::UdpSocket, time::interval},
 };
 
-/// Time between two relays of a watcher, besides those right after an answer of the platform.
+/// Time between two periodic relays of a watcher. Further relays follow each response of the platform.
 ///
-/// Not measured at other values: a lease ([`pointvane_dispatch::ReaderOptions`]) outlives four lost ones in a row.
+/// A lease ([`pointvane_dispatch::ReaderOptions`]) outlives the loss of four consecutive relays.
 const RELAY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Sends and receives relays for as long as the process lives.
+/// Sends and receives relays until the process ends.
 pub async fn run<A: PlatformAdapter>(node: Rc<Node<A>>, socket: Rc<UdpSocket>) {
     tokio::join!(send(&node), receive(&node, &socket));
 }
@@ -32,60 +32,60 @@
 async fn receive<A: PlatformAdapter>(node: &Node<A>, socket: &UdpSocket) {
     let mut buffer = [0; codec::DATAGRAM_LIMIT_BYTES];
     loop {
-        // As for gossip: an error is about an earlier send, and rubbish is ignored without a line.
+        // As in `gossip_loop.rs`: an error reports an earlier send, and malformed datagrams are not logged.
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
         let Ok(datagram) = codec::decode::<RelayDatagram>(&buffer[..length]) else { continue };
         if node.fleet.is_new_relay(&datagram, node.now_us()) {
-            node.pass_on(&datagram);
+            node.forward_relay(&datagram);
             let relay = Relay::from(datagram.relay);
-            node.hear_reader(datagram.origin, relay.age_ms);
+            node.observe_reader(datagram.origin, relay.age_ms);
             node.apply_relay(relay);
         }
     }
 }
 
 impl<A: PlatformAdapter> Node<A> {
-    /// Sends what this node knows of the platform to all others, if that is current.
+    /// Broadcasts this node's platform state to all others, if it is current.
     pub fn send_relay(&self) {
         let relay = self.platform.state().relay(self.now_us());
         let Some(relay) = relay else { return };
         let (origin, round) = (self.settings().gossip, self.fleet.next_relay_round());
-        let whole =
+        let full =
             RelayDatagram { origin, round, segment: Segment::ALL, relay: WireRelay::from(relay.clone()) };
-        // Whatever segment it gets on its way, it must fit a datagram.
-        let longest = RelayDatagram { segment: Segment::LONGEST, ..whole.clone() };
-        self.pass_on(&match codec::encode(&longest) {
-            Ok(_) => whole,
-            Err(_) => RelayDatagram { relay: relay.without_changes().into(), ..whole },
+        // It must fit in a datagram with any segment that forwarding nodes assign.
+        let with_longest_segment = RelayDatagram { segment: Segment::LONGEST, ..full.clone() };
+        self.forward_relay(&match codec::encode(&with_longest_segment) {
+            Ok(_) => full,
+            Err(_) => RelayDatagram { relay: relay.without_changes().into(), ..full },
         });
     }
 
-    /// Sends a relay to the few nodes by which all in its segment receive it.
-    fn pass_on(&self, datagram: &RelayDatagram) {
+    /// Forwards a relay to the next nodes of the broadcast tree, each of which covers a part of its segment.
+    fn forward_relay(&self, datagram: &RelayDatagram) {
         if datagram.segment == Segment::NONE {
             return;
         }
         for Forwarder { node, segment } in self.fleet.relay_forwarders(datagram) {
-            // A relay that fits with the longest segment fits with any.
+            // The sender checked the size with the longest segment.
             if let Ok(bytes) = codec::encode(&RelayDatagram { segment, ..datagram.clone() }) {
                 self.fleet.send_relay(&bytes, node);
             }
         }
     }
 
-    /// Stops watching in the watchers' place once a reader that precedes this node is answered.
-    fn hear_reader(&self, origin: SocketAddr, age_ms: u64) {
+    /// Stops watching in place of the watchers once a reader that precedes this node has read the platform.
+    fn observe_reader(&self, origin: SocketAddr, age_ms: u64) {
         if self.platform.state().stands_in() {
             self.platform.state_mut().hear_reader(age_ms, self.fleet.precedes(origin));
         }
     }
 
     fn apply_relay(&self, relay: Relay) {
-        let order = self.fleet.query_position(relay.mark.revision);
-        let changes = self.platform.state_mut().receive_relay(relay, order, self.now_us());
+        let position = self.fleet.query_position(relay.mark.revision);
+        let changes = self.platform.state_mut().receive_relay(relay, position, self.now_us());
         if !changes.is_empty() {
             self.apply(changes);
         }
-        self.platform.tell_news();
+        self.platform.notify_if_behind();
     }
 }
--- a/crates/pointvane-node/src/replica/state_query.rs
+++ b/crates/pointvane-node/src/replica/state_query.rs
@@ -1,10 +1,11 @@
-//! Queries of nodes to each other for what they know of the platform, over TCP: one frame there, and one or two back.
+//! Queries between nodes for platform state, over TCP: one request frame, and one or two response frames.
 //!
-//! What an answer holds comes compressed. A whole state is encoded once for all nodes that want it at the same time, and not at all for those that
-//! are turned away: when hundreds start together, each would otherwise cost the memory and the processor time of one more.
+//! The state in a response is compressed. A full state is encoded once for all nodes that request it at the
+//! same time, and not at all for those that are rejected: when hundreds of nodes start together, each would
+//! otherwise cost the memory and CPU time of a further encoding.
 
 use {
-    crate::{node::Node, replica::platform_state::AnswerUnderWay, socket},
+    crate::{node::Node, replica::platform_state::AnswerPermit, socket},
     pointvane_core::{Change, PlatformAdapter, RoutingConfiguration, RoutingDelta},
     pointvane_dispatch::{
         KnownState, PeerQuery, ReadMark, StateOffer, StateReply, StateRequest, is_answer_sent,
@@ -20,21 +21,24 @@
     },
 };
 
-/// Longest time for which an answer is sent: longer than the other node reads it.
+/// Maximum time to send a response: longer than the other node spends reading it.
 const SEND_TIMEOUT: Duration = Duration::from_secs(4);
-/// Longest time for which another node's query is waited for: longer than the other node waits for an answer.
+/// Maximum time to wait for the request of another node: longer than the other node waits for a response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest time for which a node that knows nothing yet leaves another one that knows nothing waiting, before it says so.
+/// Maximum time for which a node without state holds the query of another node without state before it
+/// declines.
 ///
-/// When all start at once, those who wait get the state as soon as it is there, and need not query again and again.
+/// When all nodes start at once, the waiting ones receive the state as soon as it is available, without
+/// repeated queries.
 const FIRST_STATE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest time between two pieces of a message: a lost segment is sent again after 200 ms, and once more after twice
-/// that.
+/// Maximum time between two chunks of a message: TCP retransmits a lost segment after 200 ms, and again after
+/// a further 400 ms.
 const PROGRESS_TIMEOUT: Duration = Duration::from_millis(650);
-/// Longest time for which an answer is read: at 10 Mbit/s it carries 1.9 MB. The platform is called beside it after `catch_up_ms`.
+/// Maximum time to read a response: enough for 1.9 MB at 10 Mbit/s. After `catch_up_ms` the platform is
+/// called concurrently.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Bytes of an answer that are read at once.
-const PIECE_BYTES: usize = 65_536;
+/// Maximum number of response bytes read at once.
+const READ_CHUNK_BYTES: usize = 65_536;
 
 impl<A: PlatformAdapter> KnownState for Node<A> {
     fn entries(&self) -> Vec<Change> {
@@ -50,18 +54,18 @@
     }
 }
 
-/// Why a query gave no state.
+/// The reason why a query returned no state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryError {
     /// No other node is known.
     NoPeer,
-    /// No connection came up in time.
+    /// No connection could be opened in time.
     Unreachable,
-    /// No answer came in time, or it broke off.
+    /// No response arrived in time, or it was truncated.
     NoAnswer,
-    /// The other node knows no more.
+    /// The other node has no newer state.
     NothingNewer,
-    /// The other node knows nothing yet, and is reading the platform.
+    /// The other node has no state yet and is reading the platform.
     Reading,
 }
 
@@ -78,13 +82,13 @@
     }
 }
 
-/// Answers other nodes for as long as the process lives.
+/// Serves queries of other nodes until the process ends.
 pub async fn serve<A: PlatformAdapter + 'static>(node: Rc<Node<A>>, listener: TcpListener) {
     loop {
-        // A connection that breaks before it is accepted is its opener's to notice.
+        // The peer detects a connection that fails before it is accepted.
         if let Ok((stream, _)) = listener.accept().await {
             let node = Rc::clone(&node);
-            // The other node goes elsewhere when it gets no answer.
+            // Errors are ignored: the other node queries another peer if it gets no response.
             spawn_local(async move { answer(&node, stream).await });
         }
     }
@@ -99,43 +103,47 @@
     if request.known == ReadMark::default() && !node.knows_platform() {
         node.platform.first_state(FIRST_STATE_TIMEOUT).await;
     }
-    let (offer, frame, _under_way) = match prepare(node, &request) {
-        Some(Prepared { age_ms, frame, under_way }) => {
-            (StateOffer::State { age_ms }, Some(frame), Some(under_way))
+    let (offer, frame, _permit) = match prepare_answer(node, &request) {
+        Some(PreparedAnswer { age_ms, frame, permit }) => {
+            (StateOffer::State { age_ms }, Some(frame), Some(permit))
         }
         None if node.platform.state().is_reading() => (StateOffer::Reading, None, None),
         None => (StateOffer::Nothing, None, None),
     };
     timeout(SEND_TIMEOUT, send_answer(&mut stream, offer, frame)).await??;
-    // Closing the socket with its end unread would reset it and cut the answer off.
+    // Closing the socket while the peer's end of stream is unread would reset it and truncate the response.
     stream.shutdown().await
 }
 
-/// An answer that is about to be sent.
-struct Prepared<'s> {
+/// A response that is ready to be sent.
+struct PreparedAnswer<'s> {
     age_ms: u64,
     frame: Rc<Vec<u8>>,
-    under_way: AnswerUnderWay<'s>,
+    permit: AnswerPermit<'s>,
 }
 
-/// What is answered to a query; none if this node knows no more, has no time, or the answer would be too long.
-fn prepare<'n, A: PlatformAdapter>(node: &'n Node<A>, request: &StateRequest) -> Option<Prepared<'n>> {
+/// Prepares the response to a query. Returns `None` if this node has no newer state, is at its limit of
+/// concurrent full states, or the response would be too long.
+fn prepare_answer<'n, A: PlatformAdapter>(
+    node: &'n Node<A>,
+    request: &StateRequest,
+) -> Option<PreparedAnswer<'n>> {
     let now_us = node.now_us();
     let age_ms = node.platform.state().newer_age_ms(request, now_us)?;
-    let whole = node.platform.state().answers_whole(request);
-    let under_way = node.platform.begin_answer(whole)?;
+    let is_full = node.platform.state().answers_whole(request);
+    let permit = node.platform.begin_answer(is_full)?;
     let shared = || node.platform.shared_answer(request.known);
     let encoded = || {
         let reply = node.platform.state().answer(request, node, now_us)?;
-        // An answer that is too long to be a frame is none.
+        // A response that exceeds the frame size is not sent.
         let frame = Rc::new(codec::packed_frame(&reply).ok()?);
-        if whole {
+        if is_full {
             node.platform.share_answer(request.known, &frame);
         }
         Some(frame)
     };
     let frame = shared().or_else(encoded).filter(|frame| is_answer_sent(frame.len()))?;
-    Some(Prepared { age_ms, frame, under_way })
+    Some(PreparedAnswer { age_ms, frame, permit })
 }
 
 async fn send_answer(
@@ -150,11 +158,13 @@
     }
 }
 
-/// Queries the first of some nodes that can be reached. The answer's first byte must come within the time-out; then it may take as
-/// long as it goes on coming, within [`TRANSFER_TIMEOUT`].
+/// Queries the first of `peers` that can be reached.
+///
+/// The first byte of the response must arrive within the query's time-out. The rest may take up to
+/// [`TRANSFER_TIMEOUT`] while it makes progress.
 ///
 /// # Errors
-/// A [`QueryError`] when it gives nothing newer.
+/// Returns a [`QueryError`] if the peer cannot be reached, does not respond in time or has no newer state.
 pub async fn query_first(
     peers: &[SocketAddr],
     query: &PeerQuery,
@@ -163,7 +173,8 @@
     Ok((peer, query_over(stream, query).await?))
 }
 
-/// The first connection that comes up, with its node; none within the time-out.
+/// The first connection that opens, with the address of its peer; `None` if none opens within the query's
+/// time-out.
 async fn connect_first(peers: &[SocketAddr], query: &PeerQuery) -> Option<(SocketAddr, TcpStream)> {
     let connect_timeout = Duration::from_millis(query.connect_timeout_ms);
     let mut connections = JoinSet::new();
@@ -171,7 +182,8 @@
         connections.spawn_local(async move { (peer, socket::connect(peer, connect_timeout).await) });
     }
     while let Some(connected) = connections.join_next().await {
-        // Why one cannot be reached makes no difference: the next one counts, and none is told as unreachable.
+        // The reason for a failed connection is not needed: the next peer is used, or the query fails as
+        // unreachable.
         if let Ok((peer, Ok(stream))) = connected {
             return Some((peer, stream));
         }
@@ -198,7 +210,7 @@
         StateOffer::State { age_ms } => age_ms,
     };
     let reply: StateReply = codec::unpacked(&read_frame(stream).await?).map_err(io::Error::other)?;
-    // It may have been encoded for another node before.
+    // The frame may have been encoded earlier for another node, so its age is sent separately.
     Ok(Ok(reply.with_age(age_ms)))
 }
 
@@ -207,15 +219,15 @@
     stream.write_all(&frame).await
 }
 
-/// Reads the bytes of a frame; fails when nothing of them comes for [`PROGRESS_TIMEOUT`].
+/// Reads the bytes of a frame. Fails if no bytes arrive for [`PROGRESS_TIMEOUT`].
 async fn read_frame(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
-    let mut first = [0; 4];
-    timeout(PROGRESS_TIMEOUT, stream.read_exact(&mut first)).await??;
-    let length = codec::frame_length(first).map_err(io::Error::other)?;
+    let mut length_prefix = [0; 4];
+    timeout(PROGRESS_TIMEOUT, stream.read_exact(&mut length_prefix)).await??;
+    let length = codec::frame_length(length_prefix).map_err(io::Error::other)?;
     let mut frame = stream.take(length as u64);
     let mut bytes = Vec::new();
     while bytes.len() < length {
-        bytes.reserve(PIECE_BYTES.min(length - bytes.len()));
+        bytes.reserve(READ_CHUNK_BYTES.min(length - bytes.len()));
         if timeout(PROGRESS_TIMEOUT, frame.read_buf(&mut bytes)).await?? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
--- a/crates/pointvane-node/src/report.rs
+++ b/crates/pointvane-node/src/report.rs
@@ -1,7 +1,7 @@
-//! Log lines, time line, counters and histograms of a node.
+//! Log lines, event log, counters and histograms of a node.
 //!
-//! Lines are bounded: state changes of upstreams and other nodes, and failed requests, by a rate; successful requests by
-//! sampling. What is suppressed is counted in a line of its own.
+//! Log volume is bounded: state changes of upstreams and other nodes, and failed requests, are rate-limited;
+//! successful requests are sampled. A separate line reports the number of suppressed lines.
 
 use {
     crate::replica::platform_client::CallKind,
@@ -20,23 +20,25 @@
     std::{cell::RefCell, collections::HashSet, sync::Arc, time::Duration},
 };
 
-/// Bounds of the time histograms, in seconds: two or three a decade, from a local answer to a caller's longest wait.
+/// Bucket boundaries of the latency histograms, in seconds: three per decade, from a local response to a
+/// caller's longest wait.
 const TIME_BOUNDS_S: [f64; 12] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
-/// Upstreams and routes that get labels of their own; the others share one. Bounds memory.
+/// Number of upstreams and routes with a label value of their own; all others share [`OTHER_LABEL`]. Bounds
+/// memory.
 const LABELS_MAX: usize = 512;
-/// The label that all others share.
-const OTHER: &str = "other";
-/// Longest wait for the last lines to be read: a planned stop must not wait for a reader that is stuck.
+/// Label value shared by all upstreams and routes beyond [`LABELS_MAX`].
+const OTHER_LABEL: &str = "other";
+/// Maximum time to write the last lines: a shutdown must not wait for a blocked reader of standard output.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(150);
-/// Events that the time line holds. Bounds memory.
+/// Number of events kept in the event log. Bounds memory.
 const EVENTS_KEPT: usize = 1_024;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// Log lines, time line and metrics of one node.
+/// Log lines, event log and metrics of one node.
 #[derive(Debug)]
 pub struct Report {
-    /// The time line.
+    /// The event log.
     pub events: EventLog,
     /// All metrics.
     pub metrics: Metrics,
@@ -66,10 +68,10 @@
 }
 
 impl Report {
-    /// The report of the node of one VM.
+    /// Creates the report of the node on the VM named `vm`.
     ///
     /// # Errors
-    /// When the metrics can't be set up.
+    /// Fails if the metrics exporter cannot be set up.
     pub fn new(vm: &Name, lines: LineOptions) -> Result<Self> {
         let metrics = Metrics::new()?;
         let meter = metrics.meter();
@@ -109,19 +111,19 @@
         })
     }
 
-    /// Writes the last lines before the process ends, within [`FLUSH_TIMEOUT`].
+    /// Writes the remaining lines before the process ends, within [`FLUSH_TIMEOUT`].
     pub fn flush(&self) {
         if let Some(flush) = self.flush.take() {
             flush.flush(FLUSH_TIMEOUT);
         }
     }
 
-    /// Notes a change of this node's own state.
+    /// Records a change of this node's own state; its line is never suppressed.
     pub fn note(&self, kind: EventKind) {
         self.events.note(kind);
     }
 
-    /// Notes a change of state of an upstream or another node; its line is suppressed if there are too many.
+    /// Records a state change of an upstream or another node; its line is suppressed above the rate limit.
     pub fn note_bounded(&self, now_us: u64, kind: EventKind) {
         let decision = self.gate.borrow_mut().change(now_us);
         self.note_suppressed(decision);
@@ -138,14 +140,14 @@
         }
     }
 
-    /// Writes a line on a success, for a sample of them.
+    /// Writes a line for a sample of successful requests.
     pub fn success(&self, line: impl FnOnce() -> EventKind) {
         if self.gate.borrow_mut().success() {
             self.events.note(line());
         }
     }
 
-    /// Writes a line on a failure, unless there are too many.
+    /// Writes a line for a failed request, unless the rate limit is exceeded.
     pub fn failure(&self, now_us: u64, line: impl FnOnce() -> EventKind) {
         let decision = self.gate.borrow_mut().failure(now_us);
         self.note_suppressed(decision);
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Counts a request that got an upstream's answer.
+    /// Counts a request that was answered by an upstream.
     pub fn answered(&self, route: &Name, status: u16, spent_ms: u64) {
         let route = self.label("route", route);
         let class = KeyValue::new("status", i64::from(status / 100 * 100));
@@ -162,21 +164,23 @@
         self.request_s.record(spent_ms as f64 / MS_PER_S, &[route]);
     }
 
-    /// Counts a request that the node itself answered.
+    /// Counts a request that the node answered itself with an error.
     pub fn refused(&self, kind: ErrorKind) {
-        let row = kind.answer();
-        self.refusals
-            .add(1, &[KeyValue::new("error", row.name), KeyValue::new("outcome", row.outcome.as_str())]);
+        let answer = kind.answer();
+        self.refusals.add(
+            1,
+            &[KeyValue::new("error", answer.name), KeyValue::new("outcome", answer.outcome.as_str())],
+        );
     }
 
-    /// Counts an attempt.
+    /// Counts an attempt and records its duration.
     pub fn attempted(&self, upstream: &Name, outcome: &'static str, took_ms: u64) {
         let upstream = self.label("upstream", upstream);
         self.attempts.add(1, &[upstream, KeyValue::new("outcome", outcome)]);
         self.upstream_s.record(took_ms as f64 / MS_PER_S, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a retry, or a hedge.
+    /// Counts a retry or a hedge.
     pub fn repeated(&self, hedge: bool) {
         self.repeats.add(1, &[KeyValue::new("hedge", hedge)]);
     }
@@ -186,27 +190,28 @@
         self.probes.add(1, &[]);
     }
 
-    /// Counts a request that was forwarded before those ahead of it on its connection were answered.
+    /// Counts a pipelined request that was forwarded before the preceding requests on its connection were
+    /// answered.
     pub fn forwarded_early(&self) {
         self.early_forwards.add(1, &[]);
     }
 
-    /// Counts an upstream that wants no requests for a time, or for longer.
+    /// Counts a back-off requested or prolonged by an upstream.
     pub fn backed_off(&self) {
         self.back_offs.add(1, &[]);
     }
 
-    /// Counts an upstream that says that it is leaving.
+    /// Counts an upstream that announced that it is leaving.
     pub fn left(&self) {
         self.leavings.add(1, &[]);
     }
 
-    /// Counts an upstream that advertises a limit, another one, or none any more.
+    /// Counts an upstream that added, changed or removed its advertised limit.
     pub fn limit_changed(&self) {
         self.limit_changes.add(1, &[]);
     }
 
-    /// Counts what changed for a request under which upstreams crash.
+    /// Counts a request that entered or left quarantine.
     pub fn quarantine_changed(&self, change: &QuarantineChange) {
         match change {
             QuarantineChange::Began { .. } => self.quarantines.add(1, &[]),
@@ -220,22 +225,22 @@
         self.platform_calls.add(1, &labels);
     }
 
-    /// Counts a call to the platform that gave nothing.
+    /// Counts a failed call to the platform.
     pub fn platform_call_failed(&self, reason: &'static str) {
         self.platform_call_failures.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts an item of the platform that could not be understood.
+    /// Counts an item of the platform that was rejected as invalid.
     pub fn refused_item(&self, fault: ItemFault) {
         self.items_refused.add(1, &[KeyValue::new("reason", fault.as_str())]);
     }
 
-    /// Counts a read of everything that brought no configuration that can be used, though none is in force.
-    pub fn lacks_configuration(&self) {
+    /// Counts a full read of the platform that contained no usable configuration while this node had none.
+    pub fn missing_configuration(&self) {
         self.missing_configurations.add(1, &[]);
     }
 
-    /// Counts a request of a client account with a quota.
+    /// Counts a quota decision on a request.
     pub fn quota_decided(&self, admitted: bool) {
         self.quota_decisions.add(1, &[KeyValue::new("admitted", admitted)]);
     }
@@ -245,19 +250,19 @@
         self.peer_questions.add(1, &[]);
     }
 
-    /// Counts a query to another node that gave nothing.
+    /// Counts a query to another node that returned no state.
     pub fn query_failed(&self, reason: &'static str) {
         self.peer_question_failures.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// A label with a bounded number of values.
+    /// Creates a label whose number of distinct values is bounded by [`LABELS_MAX`].
     fn label(&self, key: &'static str, value: &Name) -> KeyValue {
         let mut labels = self.labels.borrow_mut();
         if labels.contains(value) || labels.len() < LABELS_MAX {
             labels.insert(value.clone());
             KeyValue::new(key, Arc::<str>::from(value))
         } else {
-            KeyValue::new(key, OTHER)
+            KeyValue::new(key, OTHER_LABEL)
         }
     }
 }
--- a/crates/pointvane-node/src/run.rs
+++ b/crates/pointvane-node/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of a node's process: start, reload of settings, planned stop.
+//! The lifecycle of a node process: startup, reload of settings, graceful shutdown.
 
 use {
     crate::{
@@ -27,15 +27,16 @@
     },
 };
 
-/// Time between two checks for connections that were idle too long.
-const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
-/// Such checks between two checks of the settings: they may change without a signal.
-const CHECKS_PER_RELOAD: u64 = 5;
+/// Time between two sweeps of idle upstream connections.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of sweeps between two checks of the settings, which may change without a signal.
+const SWEEPS_PER_SETTINGS_CHECK: u64 = 5;
 
-/// Runs a node until it is stopped; `read_settings` is called at the start and whenever they may have changed.
+/// Runs a node until SIGTERM. `read_settings` is called at startup, on SIGHUP and periodically.
 ///
 /// # Errors
-/// What kept it from starting.
+/// Fails if the settings cannot be read at startup, or if the runtime, a signal handler or a socket cannot be
+/// set up.
 pub fn run<A, S>(adapter: A, options: NodeOptions, read_settings: S) -> Result<()>
 where
     A: PlatformAdapter + 'static,
@@ -43,27 +44,28 @@
 {
     let settings = read_settings()?;
     let report = Report::new(&settings.name, options.lines)?;
-    let runtime = Builder::new_current_thread().enable_all().build().wrap_err("runtime")?;
+    let runtime =
+        Builder::new_current_thread().enable_all().build().wrap_err("cannot create the Tokio runtime")?;
     let node = Rc::new(Node::new(adapter, settings, &options, report));
-    LocalSet::new().block_on(&runtime, live(node, options.fleet, read_settings))
+    LocalSet::new().block_on(&runtime, run_until_stopped(node, options.fleet, read_settings))
 }
 
-async fn live<A, S>(node: Rc<Node<A>>, fleet: FleetOptions, read_settings: S) -> Result<()>
+async fn run_until_stopped<A, S>(node: Rc<Node<A>>, fleet: FleetOptions, read_settings: S) -> Result<()>
 where
     A: PlatformAdapter + 'static,
     S: Fn() -> Result<NodeSettings> + 'static,
 {
-    let terminate = signal(SignalKind::terminate()).wrap_err("signal")?;
-    let reload = signal(SignalKind::hangup()).wrap_err("signal")?;
+    let terminate = signal(SignalKind::terminate()).wrap_err("cannot handle SIGTERM")?;
+    let reload = signal(SignalKind::hangup()).wrap_err("cannot handle SIGHUP")?;
     start(&node, fleet).await?;
     node.report.note(EventKind::Started);
-    until_terminated(&node, terminate, reload, &read_settings).await;
+    maintain_until_terminated(&node, terminate, reload, &read_settings).await;
     stop::stop(Rc::clone(&node)).await;
     node.report.flush();
     Ok(())
 }
 
-/// Opens all sockets and starts what runs for as long as the process lives.
+/// Opens all sockets and spawns the tasks that run until the process ends.
 async fn start<A: PlatformAdapter + 'static>(node: &Rc<Node<A>>, fleet: FleetOptions) -> Result<()> {
     let settings = node.settings().clone();
     let ip = fleet.bind_ip.unwrap_or(settings.gossip.ip());
@@ -71,7 +73,8 @@
     let sockets = open_sockets(gossip).await?;
     node.fleet.set_sockets(sockets.clone());
     listen_to_callers(node, &settings).await?;
-    let queries = TcpListener::bind(gossip).await.wrap_err("queries of nodes")?;
+    let queries =
+        TcpListener::bind(gossip).await.wrap_err("cannot listen for state queries of other nodes")?;
     spawn_local(gossip_loop::run(Rc::clone(node), sockets.gossip));
     spawn_local(state_query::serve(Rc::clone(node), queries));
     spawn_local(relay_loop::run(Rc::clone(node), sockets.relays));
@@ -82,22 +85,22 @@
     Ok(())
 }
 
-/// Opens the sockets to other nodes, all at ports behind that of membership datagrams.
+/// Binds the UDP sockets to other nodes, at fixed offsets from the gossip port.
 async fn open_sockets(gossip: SocketAddr) -> Result<Sockets> {
-    let open = async |port_offset, name| {
+    let open = async |port_offset, message| {
         let address = SocketAddr::new(gossip.ip(), gossip.port() + port_offset);
-        UdpSocket::bind(address).await.map(Rc::new).wrap_err(name)
+        UdpSocket::bind(address).await.map(Rc::new).wrap_err(message)
     };
     Ok(Sockets {
-        gossip: open(0, "gossip").await?,
-        relays: open(RELAY_PORT_OFFSET, "relays").await?,
-        quarantine: open(QUARANTINE_PORT_OFFSET, "news of quarantined requests").await?,
-        quotas: open(QUOTA_PORT_OFFSET, "quotas of client accounts").await?,
-        limits: open(LIMIT_PORT_OFFSET, "limits of upstreams").await?,
+        gossip: open(0, "cannot bind the gossip socket").await?,
+        relays: open(RELAY_PORT_OFFSET, "cannot bind the relay socket").await?,
+        quarantine: open(QUARANTINE_PORT_OFFSET, "cannot bind the quarantine socket").await?,
+        quotas: open(QUOTA_PORT_OFFSET, "cannot bind the quota socket").await?,
+        limits: open(LIMIT_PORT_OFFSET, "cannot bind the limit socket").await?,
     })
 }
 
-/// Listens for callers, readiness checks, lookups and operators.
+/// Listens for callers, readiness checks, directory lookups and operators.
 async fn listen_to_callers<A: PlatformAdapter + 'static>(
     node: &Rc<Node<A>>,
     settings: &NodeSettings,
@@ -114,23 +117,23 @@
     Ok(())
 }
 
-/// Closes idle connections and reloads settings until the process is to stop.
-async fn until_terminated<A: PlatformAdapter>(
+/// Closes idle connections and reloads settings until SIGTERM.
+async fn maintain_until_terminated<A: PlatformAdapter>(
     node: &Node<A>,
     mut terminate: Signal,
     mut reload: Signal,
     read_settings: &impl Fn() -> Result<NodeSettings>,
 ) {
-    let mut expire = interval(EXPIRE_INTERVAL);
-    let mut checks: u64 = 0;
+    let mut sweep_ticks = interval(IDLE_SWEEP_INTERVAL);
+    let mut sweeps: u64 = 0;
     loop {
         tokio::select! {
             _ = terminate.recv() => return,
             _ = reload.recv() => reload_settings(node, read_settings),
-            _ = expire.tick() => {
+            _ = sweep_ticks.tick() => {
                 node.dispatcher.connections.expire();
-                checks += 1;
-                if checks.is_multiple_of(CHECKS_PER_RELOAD) {
+                sweeps += 1;
+                if sweeps.is_multiple_of(SWEEPS_PER_SETTINGS_CHECK) {
                     reload_if_changed(node, read_settings);
                 }
             }
@@ -138,17 +141,17 @@
     }
 }
 
-/// Puts settings in force that changed without a signal.
+/// Reloads the settings if they changed without a signal.
 ///
-/// Settings that cannot be read are left to a reload by signal, which notes why: a file that is being written would give a
-/// line every few seconds.
+/// Unreadable settings are ignored here and reported only by a reload on SIGHUP: a file that is being written
+/// would otherwise cause a log line every few seconds.
 fn reload_if_changed<A: PlatformAdapter>(node: &Node<A>, read_settings: &impl Fn() -> Result<NodeSettings>) {
     if read_settings().is_ok_and(|settings| *node.settings() != settings) {
         reload_settings(node, read_settings);
     }
 }
 
-/// Puts the settings in force as they are now; addresses that are listened on stay those of the start.
+/// Reloads the settings. Listening addresses keep their values from startup.
 fn reload_settings<A: PlatformAdapter>(node: &Node<A>, read_settings: &impl Fn() -> Result<NodeSettings>) {
     match read_settings() {
         Ok(settings) => {
--- a/crates/pointvane-node/src/settings.rs
+++ b/crates/pointvane-node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node, whatever form they were read from.
+//! The settings of a node, independent of the format that they were read from.
 
 use {
     pointvane_core::Name,
@@ -9,61 +9,62 @@
 /// The settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// Unique in the fleet.
+    /// Name of the VM, unique in the fleet.
     pub name: Name,
     /// The data centre that the VM is in.
     pub data_centre: Name,
-    /// Whether the whole fleet starts for the first time, so that no other node knows anything yet.
+    /// Whether the whole fleet starts for the first time, so that no other node has any state yet.
     pub first_start: bool,
-    /// Where callers' requests are accepted.
+    /// Address on which callers' requests are accepted.
     pub traffic: SocketAddr,
-    /// Where readiness checks are answered.
+    /// Address on which readiness checks are answered.
     pub readiness: SocketAddr,
-    /// Where callers look up which nodes to use.
+    /// Address on which callers look up the nodes to use.
     pub directory: SocketAddr,
-    /// Where operators read metrics, events and status, if anywhere.
+    /// Address on which operators read metrics, events and status; `None` disables the port.
     pub operator: Option<SocketAddr>,
-    /// Where other nodes send datagrams and queries, as it is advertised to them; relays at the next port. They are accepted there
-    /// too, unless [`pointvane_config::FleetOptions`] names another address.
+    /// Address advertised to other nodes for gossip datagrams and state queries; the ports that follow serve
+    /// relays and the other messages between nodes. The node also binds to its IP, unless
+    /// [`pointvane_config::FleetOptions`] overrides it.
     pub gossip: SocketAddr,
-    /// Where the platform answers.
+    /// Address of the platform's HTTP interface.
     pub platform: SocketAddr,
-    /// Addresses of other nodes that are contacted first.
+    /// Gossip addresses of the nodes to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// The region of each data centre, as far as it is known.
+    /// The region of each data centre, where known.
     pub regions: BTreeMap<Name, Name>,
-    /// What this VM's link carries, in Mbit/s; 0 where that is not known.
+    /// Capacity of this VM's network link, in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// Limits of the deployment.
+    /// Limits set by the deployment.
     pub limits: NodeLimits,
 }
 
-/// Limits of the deployment.
+/// Limits set by the deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeLimits {
-    /// Time between a planned stop and the end of the process.
+    /// Grace period from SIGTERM to the end of the process.
     pub stop_grace: Duration,
-    /// Retries allowed for each request of a service, over the whole fleet.
+    /// Retries allowed per request of a service, across the fleet.
     pub retry_ratio: f64,
-    /// Retries allowed besides, over the whole fleet.
+    /// Retries allowed in addition to `retry_ratio`, across the fleet.
     pub retry_slack: f64,
-    /// Probes that one upstream may get each second, over the whole fleet.
+    /// Maximum probes per second to one upstream, across the fleet.
     pub probes_per_s: f64,
-    /// Multiple of the rate that a cold upstream bears which it may get, over the whole fleet.
+    /// Maximum request rate to a cold upstream, as a multiple of the rate that it can take, across the fleet.
     pub cold_overshoot: f64,
-    /// Requests in a second that it may get besides, over the whole fleet.
+    /// Requests per second allowed to a cold upstream in addition to `cold_overshoot`, across the fleet.
     pub cold_slack: f64,
-    /// Time without news of the platform after which requests with keys are refused, since these may have been taken away; none if
-    /// they are served on.
+    /// Time without contact to the platform after which requests with API keys are refused, since the keys
+    /// may have been revoked; `None` if they continue to be served.
     pub accounts_unconfirmed: Option<Duration>,
-    /// Window over which the quotas of client accounts hold.
+    /// Time window over which the quotas of client accounts apply.
     pub quota_window: Duration,
-    /// How long callers may keep the directory's answer, in seconds.
+    /// Time for which callers may cache a directory response, in seconds.
     pub directory_keep_s: u64,
 }
 
 impl NodeLimits {
-    /// The limits of the fleet's budgets.
+    /// The limits of the fleet-wide retry and probe budgets.
     pub fn budgets(&self) -> BudgetLimits {
         BudgetLimits {
             retry_ratio: self.retry_ratio,
@@ -72,13 +73,13 @@
         }
     }
 
-    /// The bound on what cold upstreams get.
+    /// The bound on the request rate to cold upstreams.
     pub fn warm_up(&self) -> WarmUpBound {
         WarmUpBound { overshoot: self.cold_overshoot, slack: self.cold_slack }
     }
 }
 
-/// What applies where a deployment bounds nothing.
+/// The values for deployments that set no limits.
 impl Default for NodeLimits {
     fn default() -> Self {
         Self {
--- a/crates/pointvane-node/src/socket.rs
+++ b/crates/pointvane-node/src/socket.rs
@@ -1,4 +1,4 @@
-//! TCP sockets that notice a dead peer: a machine that is gone sends no end of the connection.
+//! TCP sockets that detect dead peers: a machine that has failed sends neither FIN nor RST.
 
 use {
     socket2::{SockRef, TcpKeepalive},
@@ -6,29 +6,29 @@
     tokio::{net::TcpStream, time::timeout},
 };
 
-/// Idle time after which the kernel probes the peer: the shortest that it takes.
+/// Idle time before the first TCP keepalive probe: the minimum that the kernel accepts.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-/// Time between two of these probes: the shortest that the kernel takes.
+/// Time between keepalive probes: the minimum that the kernel accepts.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unanswered probes after which the connection breaks. Not measured.
+/// Number of unanswered keepalive probes after which the kernel closes the connection.
 const KEEPALIVE_RETRIES: u32 = 2;
-/// Time for which sent bytes may stay unacknowledged. Not measured.
+/// Maximum time for which sent data may remain unacknowledged (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(2_500);
 
-/// Opens a connection that breaks soon after its peer is gone.
+/// Opens a connection that fails within seconds after its peer has died.
 ///
 /// # Errors
-/// Those of the connection, or a time-out.
+/// Fails if the connection cannot be opened within `connect_timeout`.
 pub async fn connect(address: SocketAddr, connect_timeout: Duration) -> io::Result<TcpStream> {
     let stream = timeout(connect_timeout, TcpStream::connect(address)).await??;
     watch_peer(&stream)?;
     Ok(stream)
 }
 
-/// Makes a connection break soon after its peer is gone.
+/// Configures a connection to fail within seconds after its peer has died, and disables Nagle's algorithm.
 ///
 /// # Errors
-/// Those of the socket.
+/// Fails if a socket option cannot be set.
 pub fn watch_peer(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
