--- a/crates/pointvane-node/src/run.rs
+++ b/crates/pointvane-node/src/run.rs
@@ -44,8 +44,7 @@
 {
     let settings = read_settings()?;
     let report = Report::new(&settings.name, options.lines)?;
-    let runtime =
-        Builder::new_current_thread().enable_all().build().wrap_err("cannot create the Tokio runtime")?;
+    let runtime = Builder::new_current_thread().enable_all().build().wrap_err("runtime")?;
     let node = Rc::new(Node::new(adapter, settings, &options, report));
     LocalSet::new().block_on(&runtime, run_until_stopped(node, options.fleet, read_settings))
 }
@@ -55,8 +54,8 @@
     A: PlatformAdapter + 'static,
     S: Fn() -> Result<NodeSettings> + 'static,
 {
-    let terminate = signal(SignalKind::terminate()).wrap_err("cannot handle SIGTERM")?;
-    let reload = signal(SignalKind::hangup()).wrap_err("cannot handle SIGHUP")?;
+    let terminate = signal(SignalKind::terminate()).wrap_err("signal")?;
+    let reload = signal(SignalKind::hangup()).wrap_err("signal")?;
     start(&node, fleet).await?;
     node.report.note(EventKind::Started);
     maintain_until_terminated(&node, terminate, reload, &read_settings).await;
@@ -73,8 +72,7 @@
     let sockets = open_sockets(gossip).await?;
     node.fleet.set_sockets(sockets.clone());
     listen_to_callers(node, &settings).await?;
-    let queries =
-        TcpListener::bind(gossip).await.wrap_err("cannot listen for state queries of other nodes")?;
+    let queries = TcpListener::bind(gossip).await.wrap_err("state queries of other nodes")?;
     spawn_local(gossip_loop::run(Rc::clone(node), sockets.gossip));
     spawn_local(state_query::serve(Rc::clone(node), queries));
     spawn_local(relay_loop::run(Rc::clone(node), sockets.relays));
@@ -87,16 +85,16 @@
 
 /// Binds the UDP sockets to other nodes, at fixed offsets from the gossip port.
 async fn open_sockets(gossip: SocketAddr) -> Result<Sockets> {
-    let open = async |port_offset, message| {
+    let open = async |port_offset, name| {
         let address = SocketAddr::new(gossip.ip(), gossip.port() + port_offset);
-        UdpSocket::bind(address).await.map(Rc::new).wrap_err(message)
+        UdpSocket::bind(address).await.map(Rc::new).wrap_err(name)
     };
     Ok(Sockets {
-        gossip: open(0, "cannot bind the gossip socket").await?,
-        relays: open(RELAY_PORT_OFFSET, "cannot bind the relay socket").await?,
-        quarantine: open(QUARANTINE_PORT_OFFSET, "cannot bind the quarantine socket").await?,
-        quotas: open(QUOTA_PORT_OFFSET, "cannot bind the quota socket").await?,
-        limits: open(LIMIT_PORT_OFFSET, "cannot bind the limit socket").await?,
+        gossip: open(0, "gossip").await?,
+        relays: open(RELAY_PORT_OFFSET, "relays").await?,
+        quarantine: open(QUARANTINE_PORT_OFFSET, "quarantine messages").await?,
+        quotas: open(QUOTA_PORT_OFFSET, "quota messages").await?,
+        limits: open(LIMIT_PORT_OFFSET, "limit messages").await?,
     })
 }
 
