--- a/crates/pointvane-node/src/replica/platform_state.rs
+++ b/crates/pointvane-node/src/replica/platform_state.rs
@@ -30,7 +30,7 @@
     behind: Notify,
     /// Notified when the configuration and the upstreams have been read, so that held requests can proceed.
     state_known: Notify,
-    whole_states: RefCell<WholeStateLimit>,
+    full_state_limit: RefCell<WholeStateLimit>,
     shared_answer: RefCell<SharedAnswer>,
 }
 
@@ -66,7 +66,7 @@
             reader: RefCell::new(PlatformReader::new(reader_options(settings), seed)),
             behind: Notify::new(),
             state_known: Notify::new(),
-            whole_states: RefCell::default(),
+            full_state_limit: RefCell::default(),
             shared_answer: RefCell::default(),
         }
     }
@@ -83,8 +83,8 @@
 
     /// Begins an answer to a query of another node. Returns `None` if the limit of concurrent full states is
     /// reached.
-    pub fn begin_answer(&self, whole: bool) -> Option<AnswerPermit<'_>> {
-        let limit = whole.then_some(&self.whole_states);
+    pub fn begin_answer(&self, is_full: bool) -> Option<AnswerPermit<'_>> {
+        let limit = is_full.then_some(&self.full_state_limit);
         let allowed = limit.is_none_or(|limit| limit.borrow_mut().begin());
         allowed.then_some(AnswerPermit { limit })
     }
--- a/crates/pointvane-node/src/replica/publication.rs
+++ b/crates/pointvane-node/src/replica/publication.rs
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Applies a configuration unless it is older than the current one: a running node never goes back to an
-    /// older version.
+    /// Applies a configuration if it is newer than the current one: a running node never goes back to an older
+    /// version.
     fn apply_configuration(&self, configuration: RoutingConfiguration) {
         let (revision, index) = (configuration.version, self.platform.mark().revision);
         if self.dispatcher.accept_configuration(configuration) {
--- a/crates/pointvane-node/src/report.rs
+++ b/crates/pointvane-node/src/report.rs
@@ -32,7 +32,6 @@
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(150);
 /// Number of events kept in the event log. Bounds memory.
 const EVENTS_KEPT: usize = 1_024;
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
 /// Log lines, event log and metrics of one node.
