--- a/crates/pointvane-balance/src/chooser.rs
+++ b/crates/pointvane-balance/src/chooser.rs
@@ -1,75 +1,78 @@
-//! Choosing one upstream: the policies.
+//! Load-balancing policies: selection of one upstream.
 
 use {
-    crate::upstream::{ScoreContext, UpstreamView},
+    crate::upstream::{ScoreContext, UpstreamState},
     pointvane_config::Policy,
     rand::{Rng, rngs::SmallRng},
 };
 
-/// Draws beyond the wanted number of candidates before all upstreams are considered. Not measured.
+/// Random draws beyond the requested number of candidates before all upstreams are scanned.
 const EXTRA_DRAWS: usize = 4;
 
-/// Chooses by one policy.
+/// Selects upstreams by one policy.
 #[derive(Clone, Debug)]
 pub struct Chooser {
     policy: Policy,
     choices: usize,
-    next: usize,
+    next_index: usize,
     rng: SmallRng,
 }
 
 impl Chooser {
-    /// A chooser that compares `choices` upstreams where its policy compares a few.
+    /// Creates a chooser. `choices` is the number of candidates that [`Policy::Shared`] compares.
     pub fn new(policy: Policy, choices: u8, rng: SmallRng) -> Self {
-        Self { policy, choices: usize::from(choices), next: 0, rng }
+        Self { policy, choices: usize::from(choices), next_index: 0, rng }
     }
 
-    /// The index of the upstream to use among those that `usable` allows.
+    /// Returns the index of the selected upstream among those that `usable` accepts, or `None` if it accepts
+    /// none.
     pub fn choose<U>(
         &mut self,
-        upstreams: &[UpstreamView],
+        upstreams: &[UpstreamState],
         context: &ScoreContext<'_>,
         usable: U,
     ) -> Option<usize>
     where
-        U: Fn(usize, &UpstreamView) -> bool,
+        U: Fn(usize, &UpstreamState) -> bool,
     {
-        let own = |state: &UpstreamView| f32::from(state.own) / f32::from(state.upstream.slots);
+        let own_load =
+            |state: &UpstreamState| f32::from(state.own_in_flight) / f32::from(state.upstream.slots);
         match self.policy {
             Policy::Random => self.best_of(1, upstreams, usable, |_| 0.0),
-            Policy::RoundRobin => self.in_turn(upstreams, usable),
-            Policy::LocalLeast => self.best_of_all(upstreams, usable, own),
-            Policy::LocalTwoChoices => self.best_of(2, upstreams, usable, own),
+            Policy::RoundRobin => self.round_robin(upstreams, usable),
+            Policy::LocalLeast => self.best_of_all(upstreams, usable, own_load),
+            Policy::LocalTwoChoices => self.best_of(2, upstreams, usable, own_load),
             Policy::Shared => self.best_of(self.choices, upstreams, usable, |state| state.score(context)),
         }
     }
 
-    /// The best of `count` random usable upstreams.
+    /// Returns the upstream with the lowest score among `candidate_count` random usable ones. Scans all
+    /// upstreams if the draws find no usable one.
     fn best_of<U, S>(
         &mut self,
-        count: usize,
-        upstreams: &[UpstreamView],
+        candidate_count: usize,
+        upstreams: &[UpstreamState],
         usable: U,
         score: S,
     ) -> Option<usize>
     where
-        U: Fn(usize, &UpstreamView) -> bool,
-        S: Fn(&UpstreamView) -> f32,
+        U: Fn(usize, &UpstreamState) -> bool,
+        S: Fn(&UpstreamState) -> f32,
     {
-        if count >= upstreams.len() {
+        if candidate_count >= upstreams.len() {
             return self.best_of_all(upstreams, usable, score);
         }
         let mut best: Option<(usize, f32)> = None;
-        let mut found = 0;
-        for _ in 0..count + EXTRA_DRAWS {
+        let mut compared = 0;
+        for _ in 0..candidate_count + EXTRA_DRAWS {
             let index = self.rng.random_range(0..upstreams.len());
-            let drawn_again = best.is_some_and(|(held, _)| held == index);
-            if drawn_again || !usable(index, &upstreams[index]) {
+            let is_current_best = best.is_some_and(|(best_index, _)| best_index == index);
+            if is_current_best || !usable(index, &upstreams[index]) {
                 continue;
             }
-            found += 1;
-            best = better(best, index, score(&upstreams[index]));
-            if found == count {
+            compared += 1;
+            best = lower_score(best, index, score(&upstreams[index]));
+            if compared == candidate_count {
                 break;
             }
         }
@@ -79,11 +82,12 @@
         }
     }
 
-    /// The best of all usable upstreams; among equals, the first after a random place.
-    fn best_of_all<U, S>(&mut self, upstreams: &[UpstreamView], usable: U, score: S) -> Option<usize>
+    /// Returns the usable upstream with the lowest score. The scan starts at a random index, so that ties are
+    /// broken at random.
+    fn best_of_all<U, S>(&mut self, upstreams: &[UpstreamState], usable: U, score: S) -> Option<usize>
     where
-        U: Fn(usize, &UpstreamView) -> bool,
-        S: Fn(&UpstreamView) -> f32,
+        U: Fn(usize, &UpstreamState) -> bool,
+        S: Fn(&UpstreamState) -> f32,
     {
         if upstreams.is_empty() {
             return None;
@@ -91,24 +95,25 @@
         let start = self.rng.random_range(0..upstreams.len());
         let order = (start..upstreams.len()).chain(0..start);
         let candidates = order.filter(|&index| usable(index, &upstreams[index]));
-        let best = candidates.fold(None, |best, index| better(best, index, score(&upstreams[index])));
+        let best = candidates.fold(None, |best, index| lower_score(best, index, score(&upstreams[index])));
         best.map(|(index, _)| index)
     }
 
-    fn in_turn<U>(&mut self, upstreams: &[UpstreamView], usable: U) -> Option<usize>
+    fn round_robin<U>(&mut self, upstreams: &[UpstreamState], usable: U) -> Option<usize>
     where
-        U: Fn(usize, &UpstreamView) -> bool,
+        U: Fn(usize, &UpstreamState) -> bool,
     {
         let count = upstreams.len();
-        let index = (0..count).map(|step| (self.next + step) % count).find(|&i| usable(i, &upstreams[i]))?;
-        self.next = (index + 1) % count;
+        let index =
+            (0..count).map(|step| (self.next_index + step) % count).find(|&i| usable(i, &upstreams[i]))?;
+        self.next_index = (index + 1) % count;
         Some(index)
     }
 }
 
-fn better(best: Option<(usize, f32)>, index: usize, score: f32) -> Option<(usize, f32)> {
+fn lower_score(best: Option<(usize, f32)>, index: usize, score: f32) -> Option<(usize, f32)> {
     match best {
-        Some((_, least)) if least <= score => best,
+        Some((_, lowest)) if lowest <= score => best,
         _ => Some((index, score)),
     }
 }
--- a/crates/pointvane-balance/src/evidence.rs
+++ b/crates/pointvane-balance/src/evidence.rs
@@ -1,35 +1,35 @@
-//! Evidence that an upstream is, or is not, leaving.
+//! Evidence of whether an upstream is leaving.
 //!
-//! An upstream gets new work only while its last sign of not leaving is fresh. So a cut, a lagging list or a
-//! late wake all fall on the safe side without anybody announcing anything.
+//! An upstream gets new requests only while its last report of staying is recent. A network partition, an
+//! outdated VM list or a VM that resumes after a pause therefore stops new requests without any announcement.
 
-/// What is known of an upstream's leaving.
+/// Times of the newest reports that an upstream stays or leaves.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    staying_at_us: Option<u64>,
-    leaving_at_us: Option<u64>,
+    last_staying_us: Option<u64>,
+    last_leaving_us: Option<u64>,
 }
 
 impl Evidence {
-    /// Takes a sign made at `at_us`.
+    /// Records a report made at `at_us`.
     pub fn observe(&mut self, leaving: bool, at_us: u64) {
-        let sign = if leaving { &mut self.leaving_at_us } else { &mut self.staying_at_us };
-        *sign = (*sign).max(Some(at_us));
+        let last_us = if leaving { &mut self.last_leaving_us } else { &mut self.last_staying_us };
+        *last_us = (*last_us).max(Some(at_us));
     }
 
-    /// Whether the newest sign says that the upstream is leaving.
-    pub fn leaving(&self) -> bool {
-        self.leaving_at_us.is_some() && self.leaving_at_us >= self.staying_at_us
+    /// Whether the newest report says that the upstream is leaving. A tie counts as leaving.
+    pub fn is_leaving(&self) -> bool {
+        self.last_leaving_us.is_some() && self.last_leaving_us >= self.last_staying_us
     }
 
-    /// Whether a sign of not leaving is at most `bound_us` old and not overtaken.
-    pub fn fresh(&self, now_us: u64, bound_us: u64) -> bool {
-        let young = |at_us: u64| now_us.saturating_sub(at_us) <= bound_us;
-        !self.leaving() && self.staying_at_us.is_some_and(young)
+    /// Whether the last report of staying is at most `age_max_us` old and no report of leaving is as new.
+    pub fn is_fresh(&self, now_us: u64, age_max_us: u64) -> bool {
+        let is_recent = |at_us: u64| now_us.saturating_sub(at_us) <= age_max_us;
+        !self.is_leaving() && self.last_staying_us.is_some_and(is_recent)
     }
 
-    /// When the last sign of not leaving was made; 0 if there was none.
-    pub fn staying_at_us(&self) -> u64 {
-        self.staying_at_us.unwrap_or(0)
+    /// Time of the last report of staying; 0 if there is none.
+    pub fn last_staying_us(&self) -> u64 {
+        self.last_staying_us.unwrap_or(0)
     }
 }
--- a/crates/pointvane-balance/src/keys.rs
+++ b/crates/pointvane-balance/src/keys.rs
@@ -1,9 +1,10 @@
-//! Memory of non-repeatable work: at most once, with no shared state.
+//! Idempotency keys of non-repeatable requests: at-most-once execution without shared state.
 //!
 //! A key names the one entry incarnation that may run it. That incarnation remembers the key until the key's
-//! own expiry; a repeat joins the run or gets its answer. After the expiry, or at any other incarnation, the
-//! key is never run. So a key runs at most once whatever is lost, paused or cut. A key that was once said to be
-//! not run is fenced: a copy that arrives late, as after a pause, is not run either.
+//! expiry; a repeated request joins the run in progress or gets its response. After the expiry, and at any
+//! other incarnation, the key is never run. A key therefore runs at most once, whatever is lost, paused or
+//! partitioned. A key that has been reported as not run is recorded as such, so that a copy that arrives
+//! late, for example after a pause, is not run either.
 
 use {
     pointvane_core::{ErrorKind, IdempotencyKey, Incarnation, Name},
@@ -13,63 +14,63 @@
     },
 };
 
-/// Size of a [`KeyTable`] and bounds on keys.
+/// Limits of a [`KeyTable`].
 #[derive(Clone, Debug)]
 pub struct KeyTableOptions {
-    /// Most keys remembered; more are refused as not run.
+    /// Maximum number of remembered keys; further keys are refused with [`ErrorKind::KeysFull`].
     pub keys_max: usize,
-    /// Longest life of a key, in milliseconds.
-    pub life_max_ms: u64,
-    /// Most bytes of answers kept for repeats.
+    /// Maximum lifetime of a key, in milliseconds.
+    pub lifetime_max_ms: u64,
+    /// Maximum total size of the stored responses, in bytes.
     pub answer_bytes_max: usize,
 }
 
 impl Default for KeyTableOptions {
     fn default() -> Self {
-        Self { keys_max: 200_000, life_max_ms: 3_600_000, answer_bytes_max: 32 << 20 }
+        Self { keys_max: 200_000, lifetime_max_ms: 3_600_000, answer_bytes_max: 32 << 20 }
     }
 }
 
-/// An answer kept for repeats.
+/// A response that can be stored for repeated requests.
 pub trait Kept {
-    /// Its size in memory, in bytes.
+    /// Size in memory, in bytes.
     fn size_bytes(&self) -> usize;
 }
 
-/// What to do with a request that carries a key. `J` is the shell's handle for one that joins.
+/// What to do with a request that carries a key. `J` is the caller's handle of the request.
 #[derive(Debug)]
 pub enum KeyDecision<A, J> {
-    /// Run it; report the end with [`KeyTable::finish`].
+    /// Run it and report the end with [`KeyTable::finish`].
     Run(J),
-    /// It waits for the run that is under way.
+    /// The request waits for the run in progress; [`KeyTable::finish`] returns its handle.
     Joined,
-    /// It ran; this is the answer.
+    /// The key has run; this is the stored response.
     Replay(Arc<A>),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(ErrorKind),
-    /// Pass it on to the entry VM that owns it.
+    /// Forward the request to the entry VM that owns the key.
     PassOn {
-        /// The owner's name.
+        /// Name of the owner.
         vm: Name,
-        /// The only life of the owner that may run it.
+        /// The only incarnation of the owner that may run the key.
         incarnation: Incarnation,
     },
 }
 
-/// How a run of a key ended.
+/// How the run of a key ended.
 #[derive(Debug)]
 pub enum KeyEnd<A> {
-    /// No byte went to an upstream; from now on the key is fenced, so that none ever will.
+    /// No byte was sent to an upstream. The key is recorded as not run and will never run.
     NotRun(ErrorKind),
-    /// It ran; the answer may be kept.
+    /// The key ran; the response, if any, may be stored.
     Ran(Option<Arc<A>>),
 }
 
 #[derive(Debug)]
-enum KeyState<A, J> {
+enum KeyRecord<A, J> {
     Running(Vec<J>),
-    Ran(Option<Arc<A>>),
-    Fenced(ErrorKind),
+    Completed(Option<Arc<A>>),
+    NotRun(ErrorKind),
 }
 
 /// The keys of one entry incarnation.
@@ -78,116 +79,120 @@
     options: KeyTableOptions,
     vm: Name,
     incarnation: Incarnation,
-    states: HashMap<Box<str>, KeyState<A, J>>,
+    records: HashMap<Box<str>, KeyRecord<A, J>>,
     expiries: BTreeSet<(u64, Box<str>)>,
-    answer_bytes: usize,
+    stored_bytes: usize,
 }
 
 impl<A: Kept, J> KeyTable<A, J> {
-    /// An empty table of this incarnation.
+    /// Creates an empty table for this incarnation.
     pub fn new(options: KeyTableOptions, vm: Name, incarnation: Incarnation) -> Self {
-        let (states, expiries) = (HashMap::new(), BTreeSet::new());
-        Self { options, vm, incarnation, states, expiries, answer_bytes: 0 }
+        let (records, expiries) = (HashMap::new(), BTreeSet::new());
+        Self { options, vm, incarnation, records, expiries, stored_bytes: 0 }
     }
 
-    /// Keys remembered.
+    /// Number of remembered keys.
     pub fn len(&self) -> usize {
-        self.states.len()
+        self.records.len()
     }
 
     /// Whether no key is remembered.
     pub fn is_empty(&self) -> bool {
-        self.states.is_empty()
+        self.records.is_empty()
     }
 
-    /// Decides on a request; `now_ms` counts from the incarnation's start.
-    pub fn begin(&mut self, key: &IdempotencyKey, joiner: J, now_ms: u64) -> KeyDecision<A, J> {
+    /// Decides on a request. `now_ms` counts from the start of the incarnation.
+    pub fn begin(&mut self, key: &IdempotencyKey, waiter: J, now_ms: u64) -> KeyDecision<A, J> {
         if key.vm != self.vm {
             return KeyDecision::PassOn { vm: key.vm.clone(), incarnation: key.incarnation };
         }
         if key.incarnation != self.incarnation {
             return KeyDecision::Refuse(ErrorKind::KeyOwnerGone);
         }
-        self.forget_expired(now_ms);
+        self.remove_expired(now_ms);
         if key.expiry_ms <= now_ms {
             return KeyDecision::Refuse(ErrorKind::KeyExpired);
         }
-        if key.expiry_ms > now_ms + self.options.life_max_ms {
-            // Refused as unknown: later this expiry may lie within the bound.
+        if key.expiry_ms > now_ms + self.options.lifetime_max_ms {
+            // `KeyExpired` leaves the outcome unknown. The key is not recorded, and a later copy may run when its
+            // expiry is within the limit.
             return KeyDecision::Refuse(ErrorKind::KeyExpired);
         }
         let id: Box<str> = key.to_string().into();
-        let full = self.states.len() >= self.options.keys_max;
-        match self.states.get_mut(&id) {
-            Some(KeyState::Running(joiners)) => {
-                joiners.push(joiner);
+        let is_full = self.records.len() >= self.options.keys_max;
+        match self.records.get_mut(&id) {
+            Some(KeyRecord::Running(waiters)) => {
+                waiters.push(waiter);
                 KeyDecision::Joined
             }
-            Some(KeyState::Ran(Some(answer))) => KeyDecision::Replay(Arc::clone(answer)),
-            Some(KeyState::Ran(None)) => KeyDecision::Refuse(ErrorKind::AnswerNotKept),
-            Some(KeyState::Fenced(kind)) => KeyDecision::Refuse(*kind),
-            None if full => KeyDecision::Refuse(ErrorKind::KeysFull),
+            Some(KeyRecord::Completed(Some(answer))) => KeyDecision::Replay(Arc::clone(answer)),
+            Some(KeyRecord::Completed(None)) => KeyDecision::Refuse(ErrorKind::AnswerNotKept),
+            Some(KeyRecord::NotRun(kind)) => KeyDecision::Refuse(*kind),
+            None if is_full => KeyDecision::Refuse(ErrorKind::KeysFull),
             None => {
                 self.expiries.insert((key.expiry_ms, id.clone()));
-                self.states.insert(id, KeyState::Running(Vec::new()));
-                KeyDecision::Run(joiner)
+                self.records.insert(id, KeyRecord::Running(Vec::new()));
+                KeyDecision::Run(waiter)
             }
         }
     }
 
-    /// The kind with which to refuse a request as not run for `kind` before its run begins. The key is fenced
-    /// first; if it is another's, or has begun to run, the outcome is unknown.
-    pub fn refuse(&mut self, key: &IdempotencyKey, joiner: J, kind: ErrorKind, now_ms: u64) -> ErrorKind {
-        match self.begin(key, joiner, now_ms) {
+    /// Returns the error with which to refuse a request as not run because of `kind`, before its run begins.
+    /// The key is recorded as not run first. If another entry VM owns the key or its run has begun, the
+    /// returned kind says that the outcome is unknown.
+    pub fn refuse(&mut self, key: &IdempotencyKey, waiter: J, kind: ErrorKind, now_ms: u64) -> ErrorKind {
+        match self.begin(key, waiter, now_ms) {
             KeyDecision::Run(_) => {
                 self.finish(key, KeyEnd::NotRun(kind));
                 kind
             }
-            KeyDecision::Refuse(other) => other,
+            KeyDecision::Refuse(recorded) => recorded,
             KeyDecision::Joined | KeyDecision::Replay(_) => ErrorKind::AnswerNotKept,
             KeyDecision::PassOn { .. } => ErrorKind::KeyOwnerGone,
         }
     }
 
-    /// Takes the end of a run and gives back those that joined it, to be told the same.
+    /// Records the end of a run and returns the handles of the requests that joined it, which get the same
+    /// result.
     pub fn finish(&mut self, key: &IdempotencyKey, end: KeyEnd<A>) -> Vec<J> {
         let id: Box<str> = key.to_string().into();
-        // A key that was forgotten meanwhile stays forgotten: its expiry alone keeps it from running.
-        if !self.states.contains_key(&id) {
+        // The key may have been removed meanwhile. It is not added again; its expiry alone prevents another
+        // run.
+        if !self.records.contains_key(&id) {
             return Vec::new();
         }
-        let state = match end {
-            KeyEnd::NotRun(kind) => KeyState::Fenced(kind),
+        let record = match end {
+            KeyEnd::NotRun(kind) => KeyRecord::NotRun(kind),
             KeyEnd::Ran(answer) => {
-                let kept =
-                    answer.filter(|a| self.answer_bytes + a.size_bytes() <= self.options.answer_bytes_max);
-                self.answer_bytes += kept.as_ref().map_or(0, |answer| answer.size_bytes());
-                KeyState::Ran(kept)
+                let stored =
+                    answer.filter(|a| self.stored_bytes + a.size_bytes() <= self.options.answer_bytes_max);
+                self.stored_bytes += stored.as_ref().map_or(0, |answer| answer.size_bytes());
+                KeyRecord::Completed(stored)
             }
         };
-        let before = self.states.insert(id, state);
-        match before {
-            Some(KeyState::Running(joiners)) => joiners,
+        let previous = self.records.insert(id, record);
+        match previous {
+            Some(KeyRecord::Running(waiters)) => waiters,
             _ => Vec::new(),
         }
     }
 
-    /// Running keys are kept past their expiry so that those who joined still hear of the end.
-    fn forget_expired(&mut self, now_ms: u64) {
+    /// Removes expired keys. Running keys stay, so that requests that joined them still get the result.
+    fn remove_expired(&mut self, now_ms: u64) {
         let mut running = Vec::new();
         while let Some((expiry_ms, id)) = self.expiries.pop_first() {
             if expiry_ms > now_ms {
                 self.expiries.insert((expiry_ms, id));
                 break;
             }
-            match self.states.get(&id) {
-                Some(KeyState::Running(_)) => running.push((expiry_ms, id)),
-                Some(KeyState::Fenced(_)) => {
-                    self.states.remove(&id);
+            match self.records.get(&id) {
+                Some(KeyRecord::Running(_)) => running.push((expiry_ms, id)),
+                Some(KeyRecord::NotRun(_)) => {
+                    self.records.remove(&id);
                 }
-                Some(KeyState::Ran(answer)) => {
-                    self.answer_bytes -= answer.as_ref().map_or(0, |answer| answer.size_bytes());
-                    self.states.remove(&id);
+                Some(KeyRecord::Completed(answer)) => {
+                    self.stored_bytes -= answer.as_ref().map_or(0, |answer| answer.size_bytes());
+                    self.records.remove(&id);
                 }
                 None => {}
             }
--- a/crates/pointvane-balance/src/lib.rs
+++ b/crates/pointvane-balance/src/lib.rs
@@ -1,7 +1,9 @@
-//! The decisions of pointvane, free of I/O, threads, clocks and ambient randomness.
+//! Load balancing, admission control and idempotency keys of an entry VM.
 //!
-//! Events and the time come in, decisions go out. One [`ServiceBalancer`] decides for one service at one
-//! entry VM; one [`KeyTable`] remembers the non-repeatable work of one entry incarnation.
+//! The crate performs no I/O, starts no threads, reads no clock and draws randomness only from seeds that the
+//! caller passes in. Callers pass events and the current time in microseconds and get decisions back. One
+//! [`ServiceBalancer`] decides for one service on one entry VM; one [`KeyTable`] records the non-repeatable
+//! requests of one entry incarnation.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -16,7 +18,7 @@
 mod upstream;
 
 pub use {
-    admission::{Admission, Arrival, Waiting},
+    admission::{AdmissionQueue, Arrival, QueuedRequest},
     keys::{Kept, KeyDecision, KeyEnd, KeyTable, KeyTableOptions},
     service::{AttemptEnd, AttemptResult, Decision, Dispatch, ServiceBalancer, UpstreamSummary},
 };
--- a/crates/pointvane-balance/src/service/limit.rs
+++ b/crates/pointvane-balance/src/service/limit.rs
@@ -1,4 +1,4 @@
-//! Limits that upstreams advertise, and this entry VM's part of them.
+//! Rate limits that upstreams advertise, and this entry VM's part of them.
 
 use {
     super::ServiceBalancer,
@@ -10,7 +10,8 @@
 };
 
 impl<W> ServiceBalancer<W> {
-    /// Records what an answer says of its upstream's limit. `sent_at_us` is when its request was sent, none where that is not known, and for probes.
+    /// Records what a response says about its upstream's limit. `sent_at_us` is the time at which the request
+    /// was sent; `None` if unknown, and for probes.
     pub fn record_limit(
         &mut self,
         upstream: usize,
@@ -19,12 +20,12 @@
         now_us: u64,
     ) {
         let change = self.upstreams[upstream].limit.record_answer(notice, sent_at_us, now_us);
-        self.follow_limit(upstream, change, now_us);
+        self.apply_limit_change(upstream, change, now_us);
     }
 
-    fn follow_limit(&mut self, upstream: usize, change: Option<LimitChange>, now_us: u64) {
+    fn apply_limit_change(&mut self, upstream: usize, change: Option<LimitChange>, now_us: u64) {
         if matches!(change, Some(LimitChange::Set(_))) {
-            // Nothing is sent before a place is set, and places are worked out again only now and then.
+            // Nothing is sent before a place is set, and places are assigned again only periodically.
             let (place, phase) = (self.limit_place_without_members(), self.rng.random());
             let limit = &mut self.upstreams[upstream].limit;
             if limit.part_per_s() == Some(0.0) {
@@ -34,21 +35,23 @@
         if change == Some(LimitChange::Lifted) {
             let slots = self.upstreams[upstream].upstream.slots;
             let spread_us = return_spread_us(self.limits.entry_vms_max as usize, slots.into(), US_PER_S);
-            let later_us = self.rng.random_range(0..=spread_us);
-            self.upstreams[upstream].backoff.returns(later_us, now_us);
+            let delay_us = self.rng.random_range(0..=spread_us);
+            self.upstreams[upstream].backoff.returns(delay_us, now_us);
         }
     }
 
-    /// The place of this entry VM while it does not know the others: what it sends then is within the limit though all have started together.
+    /// Place of this entry VM while it does not know the other entry VMs. With it, the limit holds even if
+    /// all entry VMs have started at the same time.
     pub fn limit_place_without_members(&self) -> LimitPlace {
         LimitPlace::last_of(self.limits.entry_vms_max as usize)
     }
 
-    /// Works out anew which part of each limit this entry VM may send, and forgets limits that were not confirmed for long.
+    /// Recalculates this entry VM's part of each limit and drops limits that have not been confirmed for too
+    /// long.
     pub fn place_limits(&mut self, place: impl Fn(&Name) -> Option<LimitPlace>, now_us: u64) {
         for upstream in 0..self.upstreams.len() {
             let change = self.upstreams[upstream].limit.expire(now_us);
-            self.follow_limit(upstream, change, now_us);
+            self.apply_limit_change(upstream, change, now_us);
             let phase = self.rng.random();
             let state = &mut self.upstreams[upstream];
             if state.limit.per_1000_s().is_some() {
@@ -57,29 +60,30 @@
         }
     }
 
-    /// Upstreams that advertise a limit.
-    fn limits_held(&self) -> usize {
+    /// Number of upstreams that advertise a limit.
+    fn advertised_limit_count(&self) -> usize {
         self.upstreams.iter().filter(|state| state.limit.per_1000_s().is_some()).count()
     }
 
-    /// What is to be announced now, of at most `count_max` upstreams.
+    /// Returns the limits of at most `count_max` upstreams that are due to be announced to other entry VMs.
     pub fn take_limits(&mut self, count_max: usize, now_us: u64) -> Vec<ObservedLimit> {
-        let held = self.limits_held();
+        let limit_count = self.advertised_limit_count();
         let mut observed = Vec::new();
-        for (position, index) in self.by_position.iter().enumerate() {
+        for (position, index) in self.index_by_position.iter().enumerate() {
             if observed.len() == count_max {
                 break;
             }
-            if let Some(report) = self.upstreams[*index].limit.take_announcement(held, now_us) {
+            if let Some(report) = self.upstreams[*index].limit.take_announcement(limit_count, now_us) {
                 observed.push(observed_limit(position as u16, report, now_us));
             }
         }
         observed
     }
 
-    /// Receives what another entry VM reports; it is forwarded, since each report goes to some entry VMs only.
+    /// Records a limit that another entry VM reports. It is forwarded, since each report is sent to some
+    /// entry VMs only.
     pub fn observe_limit(&mut self, observed: &ObservedLimit, now_us: u64) {
-        let Some(&index) = self.by_position.get(usize::from(observed.position)) else {
+        let Some(&index) = self.index_by_position.get(usize::from(observed.position)) else {
             return;
         };
         let reported_at_us = now_us.saturating_sub(u64::from(observed.age_ms) * US_PER_MS);
@@ -90,7 +94,7 @@
         if is_newer {
             limit.forward();
         }
-        self.follow_limit(index, change, now_us);
+        self.apply_limit_change(index, change, now_us);
     }
 }
 
--- a/crates/pointvane-balance/src/service/pick.rs
+++ b/crates/pointvane-balance/src/service/pick.rs
@@ -1,16 +1,16 @@
-//! Picking the upstream of one attempt, or saying why there is none.
+//! Selection of the upstream for one attempt, and the reason if there is none.
 
 use {
     super::ServiceBalancer,
     crate::{
         estimate::ServiceMean,
-        upstream::{ScoreContext, UpstreamView},
+        upstream::{ScoreContext, UpstreamState},
     },
     pointvane_config::{Policy, Service},
     pointvane_core::{Class, US_PER_MS},
 };
 
-/// The priority of a class, 0 being the most urgent.
+/// Priority of a class; 0 is the most urgent.
 fn priority_of(class: Class) -> u32 {
     match class {
         Class::Urgent => 0,
@@ -18,108 +18,113 @@
     }
 }
 
-/// Why no upstream was picked.
+/// Why no upstream was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NoPick {
+pub(super) enum PickError {
     /// All usable upstreams are full.
     Full,
-    /// No usable upstream has fresh evidence that it is not leaving.
-    Stale,
-    /// All that are left want no requests for a time.
+    /// No usable upstream has recent evidence that it is not leaving.
+    NoFreshEvidence,
+    /// All remaining upstreams have asked for no requests for a time.
     BackingOff,
-    /// All that are left get as many requests as they take, or want none.
+    /// All remaining upstreams are at their limits or have asked for no requests.
     Limited,
-    /// All that are left are of evacuated data centres.
+    /// All remaining upstreams are in evacuated data centres.
     Evacuated,
-    /// None is left.
-    Nothing,
+    /// No upstream remains.
+    NoUpstream,
 }
 
 impl<W> ServiceBalancer<W> {
-    pub(super) fn pick(
+    pub(super) fn pick_upstream(
         &mut self,
         class: Class,
         now_us: u64,
         exclude: Option<usize>,
-    ) -> Result<usize, NoPick> {
-        let bound_us = self.evidence_bound_us();
-        let context = score_context(&self.service, &self.mean, self.latency_us, now_us);
-        let bounded = self.service.policy == Policy::Shared && self.own > 0;
+    ) -> Result<usize, PickError> {
+        let age_max_us = self.evidence_age_max_us();
+        let context = score_context(&self.service, &self.others_mean, self.mean_latency_us, now_us);
+        let is_bounded = self.service.policy == Policy::Shared && self.in_flight > 0;
         let queue_share = self.service.admission.queue_share as f32;
         let records = &self.records;
-        let in_place = |i: usize| {
+        let is_active = |i: usize| {
             let state = &self.upstreams[i];
             let is_withheld = state.upstream.evacuated || state.is_withheld(priority_of(class), now_us);
             !records[i].retired && !is_withheld && Some(i) != exclude
         };
-        let fresh = |i: usize, s: &UpstreamView| in_place(i) && s.evidence.fresh(now_us, bound_us);
-        let healthy = |i: usize, s: &UpstreamView| fresh(i, s) && !s.health.ejected(now_us);
-        let roomy =
-            |i: usize, s: &UpstreamView| healthy(i, s) && (!bounded || s.has_room(&context, queue_share));
+        let is_confirmed =
+            |i: usize, s: &UpstreamState| is_active(i) && s.evidence.is_fresh(now_us, age_max_us);
+        let is_healthy = |i: usize, s: &UpstreamState| is_confirmed(i, s) && !s.health.is_ejected(now_us);
+        let has_room = |i: usize, s: &UpstreamState| {
+            is_healthy(i, s) && (!is_bounded || s.has_room(&context, queue_share))
+        };
         let mut indexed = self.upstreams.iter().enumerate();
-        if let Some((index, _)) = indexed.find(|(i, s)| s.limit.is_refresh_due(now_us) && roomy(*i, s)) {
+        if let Some((index, _)) = indexed.find(|(i, s)| s.limit.is_refresh_due(now_us) && has_room(*i, s)) {
             return Ok(index);
         }
-        if let Some(index) = self.chooser.choose(&self.upstreams, &context, roomy) {
+        if let Some(index) = self.chooser.choose(&self.upstreams, &context, has_room) {
             return Ok(index);
         }
-        let states = || self.upstreams.iter().enumerate().filter(|(i, _)| in_place(*i));
-        if states().any(|(i, state)| healthy(i, state)) {
-            return Err(NoPick::Full);
+        let states = || self.upstreams.iter().enumerate().filter(|(i, _)| is_active(*i));
+        if states().any(|(i, state)| is_healthy(i, state)) {
+            return Err(PickError::Full);
         }
-        if states().all(|(_, state)| state.evidence.leaving()) {
-            return Err(self.nothing(now_us));
+        if states().all(|(_, state)| state.evidence.is_leaving()) {
+            return Err(self.no_upstream_reason(now_us));
         }
-        // All that are known to stay are ejected: an ill upstream is better than none.
-        if let Some(index) = self.chooser.choose(&self.upstreams, &context, fresh) {
+        // All upstreams that are known to stay are ejected: a failing upstream is better than none.
+        if let Some(index) = self.chooser.choose(&self.upstreams, &context, is_confirmed) {
             return Ok(index);
         }
-        self.fallback(now_us, exclude)
+        self.pick_unconfirmed(now_us, exclude)
     }
 
-    /// Nobody is known to stay. While a probe is under way or can be afforded, wait for it. Else one request
-    /// at a time takes the place of a probe, at the upstream last known to stay.
-    fn fallback(&mut self, now_us: u64, exclude: Option<usize>) -> Result<usize, NoPick> {
+    /// Used if no upstream is known to stay. If a probe is pending or within the budget, the request waits
+    /// for it. Otherwise one request at a time replaces the probe, at the idle upstream with the newest
+    /// report of staying.
+    fn pick_unconfirmed(&mut self, now_us: u64, exclude: Option<usize>) -> Result<usize, PickError> {
         let candidates = || {
-            let staying = |&i: &usize| {
+            let is_candidate = |&i: &usize| {
                 let state = &self.upstreams[i];
                 let is_withheld = state.is_withheld(priority_of(Class::Urgent), now_us);
-                let is_usable = !state.upstream.evacuated && !state.evidence.leaving() && !is_withheld;
+                let is_usable = !state.upstream.evacuated && !state.evidence.is_leaving() && !is_withheld;
                 !self.records[i].retired && is_usable
             };
-            (0..self.records.len()).filter(staying).filter(|&i| Some(i) != exclude)
+            (0..self.records.len()).filter(is_candidate).filter(|&i| Some(i) != exclude)
         };
-        if candidates().any(|i| self.probed_lately(i, now_us)) {
-            return Err(NoPick::Stale);
+        if candidates().any(|i| self.is_probe_pending(i, now_us)) {
+            return Err(PickError::NoFreshEvidence);
         }
-        let affordable = candidates().collect::<Vec<_>>();
-        if affordable.iter().any(|&i| self.records[i].probes.level(now_us) >= 1.0) {
-            return Err(NoPick::Stale);
+        let remaining = candidates().collect::<Vec<_>>();
+        if remaining.iter().any(|&i| self.records[i].probe_budget.level(now_us) >= 1.0) {
+            return Err(PickError::NoFreshEvidence);
         }
-        let idle = affordable.into_iter().filter(|&i| self.upstreams[i].own == 0);
-        idle.max_by_key(|&i| self.upstreams[i].evidence.staying_at_us()).ok_or(NoPick::Stale)
+        let idle = remaining.into_iter().filter(|&i| self.upstreams[i].own_in_flight == 0);
+        idle.max_by_key(|&i| self.upstreams[i].evidence.last_staying_us()).ok_or(PickError::NoFreshEvidence)
     }
 
-    /// Why nobody is left: what passes by itself first, then an evacuation, since it ends when operators say so.
-    fn nothing(&self, now_us: u64) -> NoPick {
-        let in_place = || self.upstreams.iter().zip(&self.records).filter(|(_, record)| !record.retired);
-        if in_place().any(|(state, _)| state.limit.per_1000_s().is_some()) {
-            NoPick::Limited
-        } else if self.back_in_us(now_us).is_some() {
-            NoPick::BackingOff
-        } else if in_place().any(|(state, _)| state.upstream.evacuated) {
-            NoPick::Evacuated
+    /// Reason why no upstream remains. Limits and back-off come first, since they end by themselves; an
+    /// evacuation ends only when operators lift it.
+    fn no_upstream_reason(&self, now_us: u64) -> PickError {
+        let active = || self.upstreams.iter().zip(&self.records).filter(|(_, record)| !record.retired);
+        if active().any(|(state, _)| state.limit.per_1000_s().is_some()) {
+            PickError::Limited
+        } else if self.first_return_in_us(now_us).is_some() {
+            PickError::BackingOff
+        } else if active().any(|(state, _)| state.upstream.evacuated) {
+            PickError::Evacuated
         } else {
-            NoPick::Nothing
+            PickError::NoUpstream
         }
     }
 
-    /// Time until the first of the upstreams that want no requests, or no more of them, may get some, in microseconds; none if none of them wants none.
-    pub(super) fn back_in_us(&self, now_us: u64) -> Option<u64> {
-        let in_place = self.upstreams.iter().zip(&self.records).filter(|(state, record)| {
-            !record.retired && !state.upstream.evacuated && !state.evidence.leaving()
+    /// Time in microseconds until the first upstream that is backing off or at its limit becomes available;
+    /// `None` if there is no such upstream.
+    pub(super) fn first_return_in_us(&self, now_us: u64) -> Option<u64> {
+        let active = self.upstreams.iter().zip(&self.records).filter(|(state, record)| {
+            !record.retired && !state.upstream.evacuated && !state.evidence.is_leaving()
         });
-        in_place
+        active
             .filter_map(|(state, _)| {
                 let backing_off_us = state.backoff.until_us(now_us).map(|until_us| until_us - now_us);
                 backing_off_us.max(state.limit.back_in_us(priority_of(Class::Urgent), now_us))
@@ -127,34 +132,34 @@
             .min()
     }
 
-    pub(super) fn start(&mut self, upstream: usize, now_us: u64) {
-        self.own += 1;
+    pub(super) fn begin_attempt(&mut self, upstream: usize, now_us: u64) {
+        self.in_flight += 1;
         self.upstreams[upstream].backoff.send_began(now_us);
         self.upstreams[upstream].limit.send_began(now_us);
-        self.upstreams[upstream].own += 1;
-        self.records[upstream].started_at_us = now_us;
+        self.upstreams[upstream].own_in_flight += 1;
+        self.records[upstream].last_start_us = now_us;
     }
 
-    pub(super) fn evidence_bound_us(&self) -> u64 {
+    pub(super) fn evidence_age_max_us(&self) -> u64 {
         self.service.load.evidence_ms * US_PER_MS
     }
 
     pub(super) fn context(&self, now_us: u64) -> ScoreContext<'_> {
-        score_context(&self.service, &self.mean, self.latency_us, now_us)
+        score_context(&self.service, &self.others_mean, self.mean_latency_us, now_us)
     }
 }
 
 fn score_context<'a>(
     service: &'a Service,
-    mean: &'a ServiceMean,
-    latency_us: f32,
+    others_mean: &'a ServiceMean,
+    mean_latency_us: f32,
     now_us: u64,
 ) -> ScoreContext<'a> {
     ScoreContext {
         now_us,
-        half_life_us: latency_us * service.load.half_life_share as f32,
-        mean,
-        latency_us,
+        half_life_us: mean_latency_us * service.load.half_life_share as f32,
+        others_mean,
+        mean_latency_us,
         ejection: &service.ejection,
     }
 }
--- a/crates/pointvane-balance/src/service/summary.rs
+++ b/crates/pointvane-balance/src/service/summary.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of a service's upstreams.
+//! State of a service's upstreams as shown to operators.
 
 use {
     super::ServiceBalancer,
@@ -6,45 +6,47 @@
     serde::Serialize,
 };
 
-/// What one entry VM believes of one upstream.
+/// What one entry VM knows about one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct UpstreamSummary {
-    /// The upstream's name.
+    /// Name of the upstream.
     pub name: Name,
-    /// This entry VM's own requests at it.
+    /// This entry VM's own requests in flight at the upstream.
     pub own: u16,
-    /// Estimate of all requests at it.
+    /// Estimated requests of all entry VMs in flight at the upstream.
     pub total: f32,
-    /// Whether it is leaving.
+    /// Whether the upstream is leaving.
     pub leaving: bool,
-    /// Whether it is ejected.
+    /// Whether the upstream is ejected.
     pub ejected: bool,
-    /// Time for which it still wants no requests, in milliseconds; none if it wants some.
+    /// Remaining time for which the upstream has asked for no requests, in milliseconds; `None` if it accepts
+    /// requests.
     pub back_in_ms: Option<u64>,
-    /// Requests that it takes of all entry VMs in a thousand seconds; none if it advertises no limit.
+    /// Requests that the upstream accepts from all entry VMs in 1,000 seconds; `None` if it advertises no
+    /// limit.
     pub limit_per_1000_s: Option<u32>,
-    /// Those of them that this entry VM may send.
+    /// Part of that limit that this entry VM may send.
     pub limit_part_per_1000_s: Option<u32>,
-    /// Age of the last sign that it is not leaving, in milliseconds; none if there never was one.
+    /// Age of the last report that the upstream stays, in milliseconds; `None` if there is none.
     pub evidence_age_ms: Option<u64>,
 }
 
 impl<W> ServiceBalancer<W> {
-    /// What is believed of each upstream, in the order of the configuration.
+    /// State of each upstream, in the order of the configuration.
     pub fn summaries(&self, now_us: u64) -> Vec<UpstreamSummary> {
         let context = self.context(now_us);
-        let states = self.by_position.iter().map(|&index| &self.upstreams[index]);
+        let states = self.index_by_position.iter().map(|&index| &self.upstreams[index]);
         states
             .map(|state| UpstreamSummary {
                 name: state.upstream.name.clone(),
-                own: state.own,
+                own: state.own_in_flight,
                 total: state.total(&context),
-                leaving: state.evidence.leaving(),
-                ejected: state.health.ejected(now_us),
+                leaving: state.evidence.is_leaving(),
+                ejected: state.health.is_ejected(now_us),
                 back_in_ms: state.backoff.until_us(now_us).map(|until_us| (until_us - now_us) / US_PER_MS),
                 limit_per_1000_s: state.limit.per_1000_s(),
                 limit_part_per_1000_s: state.limit.part_per_s().map(|per_s| (per_s * PER_1000_S) as u32),
-                evidence_age_ms: match state.evidence.staying_at_us() {
+                evidence_age_ms: match state.evidence.last_staying_us() {
                     0 => None,
                     at_us => Some(now_us.saturating_sub(at_us) / US_PER_MS),
                 },
--- a/crates/pointvane-balance/src/upstream.rs
+++ b/crates/pointvane-balance/src/upstream.rs
@@ -1,4 +1,4 @@
-//! All that one entry VM knows of one upstream.
+//! What one entry VM knows about one upstream, and the score for load balancing.
 
 use {
     crate::{
@@ -10,132 +10,138 @@
     pointvane_core::{Backoff, RequestLimit, US_PER_MS},
 };
 
-/// Weight of the newest answer time in the running mean. Not measured.
-const LATENCY_SHARE: f32 = 0.1;
-/// Age at which half of an upstream's slowness is forgotten. Not measured.
+/// Weight of the newest latency in the moving average.
+const LATENCY_EWMA_WEIGHT: f32 = 0.1;
+/// Age at which the slowness of an upstream counts half.
 const SLOWNESS_HALF_LIFE_US: f32 = (300 * US_PER_MS) as f32;
-/// Slowness that counts as none: where nothing is loaded the least difference decides, and an upstream that is never asked is never found to be fast again.
-///
-/// Not measured: a twentieth is less than answer times differ by chance. Without it one slow answer of three idle upstreams' first left it without any of the next 200 requests.
-const SLOWNESS_LEAST: f32 = 0.05;
-/// Largest slowness that one answer shows, as a multiple of the service's mean. Not measured.
+/// Relative slowness below this counts as none. Without load, the smallest difference decides, and an
+/// upstream that gets no requests is never measured again: of three idle upstreams, one that was slow once
+/// got none of the next 200 requests. A twentieth is less than the random variation of latencies.
+const SLOWNESS_MIN: f32 = 0.05;
+/// Maximum ratio of an upstream's latency to the service's mean.
 const SLOWNESS_MAX: f32 = 8.0;
-/// What a failure rate of 1 adds to the factor on the score. Not measured: failures have to weigh like load.
+/// A failure rate of 1 adds this to the factor on the score, so that failures weigh as much as load.
 const FAILURE_WEIGHT: f32 = 10.0;
-/// Share of its limit that an upstream keeps when it sheds a request. Not measured.
-const SHED_FACTOR: f32 = 0.7;
-/// Growth of that share with each success. Not measured.
-const SHED_RECOVERY: f32 = 0.02;
+/// Factor on an upstream's concurrency limit when it sheds a request.
+const SHED_DECREASE_FACTOR: f32 = 0.7;
+/// Increase of the concurrency share with each response, up to 1.
+const SHED_RECOVERY_STEP: f32 = 0.02;
 
-/// All that one entry VM knows of one upstream.
+/// What one entry VM knows about one upstream.
 #[derive(Clone, Debug)]
-pub struct UpstreamView {
-    /// What the configuration says of it.
+pub struct UpstreamState {
+    /// Configuration of the upstream.
     pub upstream: Upstream,
-    /// This entry VM's own requests at it.
-    pub own: u16,
-    /// Others' requests at it, from totals that it reports.
+    /// This entry VM's own requests in flight at the upstream.
+    pub own_in_flight: u16,
+    /// Estimate of other entry VMs' requests, from the totals that the upstream reports.
     pub others: OthersEstimate,
-    /// Whether it is leaving.
+    /// Whether the upstream is leaving.
     pub evidence: Evidence,
     /// Failures and ejection.
     pub health: Health,
-    /// Whether it wants no requests for a time.
+    /// Whether the upstream has asked for no requests for a time.
     pub backoff: Backoff,
-    /// How many requests it takes, and which of them this entry VM may send.
+    /// Rate limit that the upstream advertises, and this entry VM's part of it.
     pub limit: RequestLimit,
-    latency_us: f32,
-    latency_at_us: u64,
-    limit_share: f32,
+    mean_latency_us: f32,
+    latency_updated_us: u64,
+    concurrency_share: f32,
 }
 
-/// What a score is worked out with.
+/// Inputs of the score besides the state of the upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct ScoreContext<'a> {
-    /// The time.
+    /// Current time.
     pub now_us: u64,
-    /// Half-life of trust in observations.
+    /// Age at which an observation of other entry VMs' requests has half its weight.
     pub half_life_us: f32,
-    /// The service's mean of others' requests.
-    pub mean: &'a ServiceMean,
-    /// The service's running mean of answer times.
-    pub latency_us: f32,
-    /// Rules of ejection and warm-up.
+    /// Service-wide mean of other entry VMs' requests per slot.
+    pub others_mean: &'a ServiceMean,
+    /// Moving average of the service's latency; 0 before the first response.
+    pub mean_latency_us: f32,
+    /// Options for ejection and warm-up.
     pub ejection: &'a EjectionOptions,
 }
 
-impl UpstreamView {
-    /// An upstream of which nothing is known yet.
+impl UpstreamState {
+    /// Creates the state of an upstream without any observations.
     pub fn new(upstream: Upstream, health: Health) -> Self {
         Self {
             upstream,
-            own: 0,
+            own_in_flight: 0,
             others: OthersEstimate::default(),
             evidence: Evidence::default(),
             health,
             backoff: Backoff::default(),
             limit: RequestLimit::default(),
-            latency_us: 0.0,
-            latency_at_us: 0,
-            limit_share: 1.0,
+            mean_latency_us: 0.0,
+            latency_updated_us: 0,
+            concurrency_share: 1.0,
         }
     }
 
-    /// Whether it wants no requests, or none of this priority of this entry VM, 0 being the most urgent.
+    /// Whether the upstream accepts no requests, or none of this priority from this entry VM. Priority 0 is
+    /// the most urgent.
     pub fn is_withheld(&self, priority: u32, now_us: u64) -> bool {
         self.backoff.holds(now_us) || self.limit.holds(now_us) || self.limit.is_reserved(priority, now_us)
     }
 
-    /// Requests of all entry VMs at this upstream, as far as known.
+    /// Estimated requests of all entry VMs in flight at this upstream.
     pub fn total(&self, context: &ScoreContext<'_>) -> f32 {
-        let mean = context.mean.expected(self.upstream.slots);
-        f32::from(self.own) + self.others.at(context.now_us, context.half_life_us, mean).max(0.0)
+        let mean = context.others_mean.expected(self.upstream.slots);
+        f32::from(self.own_in_flight)
+            + self.others.estimate_at(context.now_us, context.half_life_us, mean).max(0.0)
     }
 
-    /// Expected wait of one more request, in slots' turns; smaller is better.
+    /// Expected wait of one more request, relative to the time of one request in all slots; lower is better.
     pub fn score(&self, context: &ScoreContext<'_>) -> f32 {
         let queue = (self.total(context) + 1.0) / f32::from(self.upstream.slots);
-        let failing = 1.0 + FAILURE_WEIGHT * self.health.failure_rate();
-        queue * failing * self.slowness(context) / self.health.weight(context.now_us, context.ejection)
+        let failure_factor = 1.0 + FAILURE_WEIGHT * self.health.failure_rate();
+        queue * failure_factor * self.slowness_factor(context)
+            / self.health.weight(context.now_us, context.ejection)
     }
 
-    /// Whether one more request stays within slots and queue, shrunk while the upstream sheds or warms up.
+    /// Whether one more request stays within the slots and the queue. The limit is lower while the upstream
+    /// sheds requests or warms up; a half-open upstream gets one request at a time.
     pub fn has_room(&self, context: &ScoreContext<'_>, queue_share: f32) -> bool {
-        if self.health.on_trial() && self.own > 0 {
+        if self.health.is_half_open() && self.own_in_flight > 0 {
             return false;
         }
         let weight = self.health.weight(context.now_us, context.ejection);
-        let limit = f32::from(self.upstream.slots) * (1.0 + queue_share) * self.limit_share * weight;
+        let limit = f32::from(self.upstream.slots) * (1.0 + queue_share) * self.concurrency_share * weight;
         self.total(context) + 1.0 <= limit.max(1.0)
     }
 
-    /// Takes the time of a whole answer, queueing at the upstream taken out by `queue_turns`.
-    pub fn answered(&mut self, latency_us: f32, now_us: u64) {
-        // What is known fades: an answer after a long rest tells more than the mean of those before it.
-        let faded = 1.0 - self.latency_trust(now_us);
-        let share = if self.latency_us == 0.0 { 1.0 } else { LATENCY_SHARE.max(faded) };
-        self.latency_us += (latency_us - self.latency_us) * share;
-        self.latency_at_us = now_us;
-        self.limit_share = (self.limit_share + SHED_RECOVERY).min(1.0);
+    /// Records the latency of a complete response.
+    pub fn record_response(&mut self, latency_us: f32, now_us: u64) {
+        // The weight of the average decays with time: after a long pause the newest response says more than
+        // older ones.
+        let confidence_lost = 1.0 - self.latency_confidence(now_us);
+        let share = if self.mean_latency_us == 0.0 { 1.0 } else { LATENCY_EWMA_WEIGHT.max(confidence_lost) };
+        self.mean_latency_us += (latency_us - self.mean_latency_us) * share;
+        self.latency_updated_us = now_us;
+        self.concurrency_share = (self.concurrency_share + SHED_RECOVERY_STEP).min(1.0);
     }
 
-    /// Takes a refusal by the upstream for overload.
-    pub fn shed(&mut self) {
-        self.limit_share = (self.limit_share * SHED_FACTOR).max(1.0 / f32::from(self.upstream.slots));
+    /// Records that the upstream refused a request because of overload.
+    pub fn record_shed(&mut self) {
+        self.concurrency_share =
+            (self.concurrency_share * SHED_DECREASE_FACTOR).max(1.0 / f32::from(self.upstream.slots));
     }
 
-    /// How much the mean of its answer times still says, from 1 right after an answer to 0.
-    fn latency_trust(&self, now_us: u64) -> f32 {
-        let age_us = now_us.saturating_sub(self.latency_at_us) as f32;
+    /// Confidence in the average latency, from 1 right after a response towards 0.
+    fn latency_confidence(&self, now_us: u64) -> f32 {
+        let age_us = now_us.saturating_sub(self.latency_updated_us) as f32;
         (-age_us / SLOWNESS_HALF_LIFE_US).exp2()
     }
 
-    fn slowness(&self, context: &ScoreContext<'_>) -> f32 {
-        if self.latency_us == 0.0 || context.latency_us == 0.0 {
+    fn slowness_factor(&self, context: &ScoreContext<'_>) -> f32 {
+        if self.mean_latency_us == 0.0 || context.mean_latency_us == 0.0 {
             return 1.0;
         }
-        let ratio = (self.latency_us / context.latency_us).clamp(1.0, SLOWNESS_MAX);
-        let slower = (ratio - 1.0) * self.latency_trust(context.now_us);
-        if slower < SLOWNESS_LEAST { 1.0 } else { 1.0 + slower }
+        let ratio = (self.mean_latency_us / context.mean_latency_us).clamp(1.0, SLOWNESS_MAX);
+        let excess = (ratio - 1.0) * self.latency_confidence(context.now_us);
+        if excess < SLOWNESS_MIN { 1.0 } else { 1.0 + excess }
     }
 }
