--- a/crates/pointvane-balance/benches/choose.rs
+++ b/crates/pointvane-balance/benches/choose.rs
@@ -1,4 +1,4 @@
-//! Cost of one choice with its end, among few and many upstreams: `cargo bench -p pointvane-balance`.
+//! Time to start and finish one request with 36 and 600 upstreams: `cargo bench -p pointvane-balance`.
 
 use {
     criterion::{Criterion, criterion_group, criterion_main},
@@ -14,10 +14,10 @@
 const NOW_US: u64 = 1_000_000_000;
 
 fn service(policy: Policy, upstreams: u16) -> Service {
-    let upstream = |number: u16| Upstream {
-        name: format!("u{number}").as_str().into(),
+    let upstream = |index: u16| Upstream {
+        name: format!("u{index}").as_str().into(),
         data_centre: "dc-1".into(),
-        address: ([10, 0, (number >> 8) as u8, number as u8], 80).into(),
+        address: ([10, 0, (index >> 8) as u8, index as u8], 80).into(),
         evacuated: false,
         slots: 6,
     };
--- a/crates/pointvane-balance/tests/common/mod.rs
+++ b/crates/pointvane-balance/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A service of equal upstreams.
+//! Configuration of a service with identical upstreams.
 
 use pointvane_config::{
     AdmissionOptions, EjectionOptions, HedgeOptions, LoadOptions, Policy, RetryOptions, Route, Service,
@@ -9,10 +9,10 @@
 pub const SLOTS: u16 = 6;
 
 pub fn service(upstreams: usize) -> Service {
-    let upstream = |number| Upstream {
-        name: format!("u{number}").as_str().into(),
+    let upstream = |index| Upstream {
+        name: format!("u{index}").as_str().into(),
         data_centre: "dc-1".into(),
-        address: format!("10.0.0.{}:80", number + 1).parse().unwrap(),
+        address: format!("10.0.0.{}:80", index + 1).parse().unwrap(),
         slots: SLOTS,
         evacuated: false,
     };
--- a/crates/pointvane-balance/tests/limits.rs
+++ b/crates/pointvane-balance/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name how many requests a second they take from all entry VMs together.
+//! Upstreams that advertise how many requests per second they accept from all entry VMs together.
 
 mod common;
 
@@ -12,64 +12,64 @@
 
 const ENTRY_VMS: usize = 18;
 const START_US: u64 = 1_000 * US_PER_S;
-/// Window over which the users count requests, in milliseconds.
+/// Window in which the requests at the limited upstream are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 
-/// The entry VMs of a fleet that hear each other, before upstreams of which the first names a limit.
+/// Entry VMs that exchange reports, with upstreams of which the first advertises a limit.
 struct Fleet {
     balancers: Vec<ServiceBalancer<u32>>,
     limit: LimitNotice,
     now_us: u64,
-    /// When the limited upstream got requests, in milliseconds.
-    got_ms: Vec<u64>,
+    /// Times at which the limited upstream got requests, in milliseconds.
+    received_ms: Vec<u64>,
     refused: Vec<ErrorKind>,
 }
 
 impl Fleet {
     fn new(upstreams: usize) -> Self {
         let limits = FleetLimits { entry_vms_max: ENTRY_VMS as u32, ..FleetLimits::default() };
-        let new = |seed| ServiceBalancer::new(&service(upstreams), &limits, seed, START_US);
-        let balancers = (0..ENTRY_VMS as u64).map(new).collect();
+        let new_balancer = |seed| ServiceBalancer::new(&service(upstreams), &limits, seed, START_US);
+        let balancers = (0..ENTRY_VMS as u64).map(new_balancer).collect();
         Self {
             balancers,
             limit: LimitNotice::Absent,
             now_us: START_US,
-            got_ms: Vec::new(),
+            received_ms: Vec::new(),
             refused: Vec::new(),
         }
     }
 
-    /// Lets time pass, with a request of a class to a balancer in turn every few milliseconds.
-    fn play(&mut self, time_ms: u64, class: Class) {
+    /// Advances the time and sends one request of a class every 4 ms, to each balancer in turn.
+    fn run_for_ms(&mut self, time_ms: u64, class: Class) {
         for _ in 0..time_ms / 4 {
             self.now_us += 4 * US_PER_MS;
-            let turn = (self.now_us / (4 * US_PER_MS)) as usize % ENTRY_VMS;
-            self.tell(turn);
-            self.request(turn, class);
+            let entry_vm = (self.now_us / (4 * US_PER_MS)) as usize % ENTRY_VMS;
+            self.exchange_reports(entry_vm);
+            self.request(entry_vm, class);
         }
     }
 
-    fn tell(&mut self, turn: usize) {
+    fn exchange_reports(&mut self, entry_vm: usize) {
         let now_us = self.now_us;
-        let upstreams = self.balancers[turn].service().upstreams.len();
+        let upstreams = self.balancers[entry_vm].service().upstreams.len();
         for index in 0..upstreams {
-            self.balancers[turn].reported(index, LoadReport::default(), now_us);
+            self.balancers[entry_vm].reported(index, LoadReport::default(), now_us);
         }
-        let place = LimitPlace { before: turn, processes: ENTRY_VMS, reached_share: 1.0 };
-        self.balancers[turn].place_limits(|_| Some(place), now_us);
-        for told in self.balancers[turn].take_limits(12, now_us) {
-            self.balancers.iter_mut().for_each(|balancer| balancer.observe_limit(&told, now_us));
+        let place = LimitPlace { before: entry_vm, processes: ENTRY_VMS, reached_share: 1.0 };
+        self.balancers[entry_vm].place_limits(|_| Some(place), now_us);
+        for observed in self.balancers[entry_vm].take_limits(12, now_us) {
+            self.balancers.iter_mut().for_each(|balancer| balancer.observe_limit(&observed, now_us));
         }
     }
 
-    fn request(&mut self, turn: usize, class: Class) {
+    fn request(&mut self, entry_vm: usize, class: Class) {
         let now_us = self.now_us;
         let arrival = Arrival { class, deadline_us: now_us + 10 * US_PER_S };
-        let balancer = &mut self.balancers[turn];
+        let balancer = &mut self.balancers[entry_vm];
         match balancer.arrive(arrival, 0, now_us) {
             Decision::Start { upstream, .. } => {
                 if upstream == 0 {
-                    self.got_ms.push(now_us / US_PER_MS);
+                    self.received_ms.push(now_us / US_PER_MS);
                     balancer.record_limit(0, self.limit, Some(now_us), now_us);
                 }
                 let report = Some(LoadReport::default());
@@ -81,33 +81,35 @@
         }
     }
 
-    /// The most requests that the limited upstream got in some window, from a time on.
-    fn most_in_window(&self, from_ms: u64) -> usize {
-        let bound: Vec<u64> = self.got_ms.iter().copied().filter(|at_ms| *at_ms >= from_ms).collect();
-        let in_window =
-            |first: &u64| bound.iter().filter(|at_ms| (*first..*first + WINDOW_MS).contains(at_ms)).count();
-        bound.iter().map(in_window).max().unwrap_or_default()
+    /// Maximum number of requests that the limited upstream got in any window that begins at `from_ms` or
+    /// later.
+    fn max_in_window(&self, from_ms: u64) -> usize {
+        let received: Vec<u64> = self.received_ms.iter().copied().filter(|at_ms| *at_ms >= from_ms).collect();
+        let in_window = |first: &u64| {
+            received.iter().filter(|at_ms| (*first..*first + WINDOW_MS).contains(at_ms)).count()
+        };
+        received.iter().map(in_window).max().unwrap_or_default()
     }
 }
 
 #[gtest]
-fn entry_vms_together_send_an_upstream_no_more_than_the_limit_that_it_names() {
+fn entry_vms_together_stay_within_the_advertised_limit() {
     for (per_1000_s, allowed) in [(1_000, 6), (2_500, 13), (6_000, 31)] {
         let mut fleet = Fleet::new(6);
-        fleet.play(1_000, Class::Routine);
+        fleet.run_for_ms(1_000, Class::Routine);
         fleet.limit = LimitNotice::Advertised(per_1000_s);
-        let named_ms = fleet.now_us / US_PER_MS;
-        fleet.play(20_000, Class::Routine);
-        expect_that!(fleet.most_in_window(named_ms + 500), all!(ge(2), le(allowed)), "{per_1000_s}");
-        expect_that!(fleet.refused.is_empty(), eq(true), "others serve what it does not take");
+        let advertised_ms = fleet.now_us / US_PER_MS;
+        fleet.run_for_ms(20_000, Class::Routine);
+        expect_that!(fleet.max_in_window(advertised_ms + 500), all!(ge(2), le(allowed)), "{per_1000_s}");
+        expect_that!(fleet.refused.is_empty(), eq(true), "the other upstreams serve the rest");
     }
 }
 
 #[gtest]
-fn where_all_are_at_their_limits_a_request_is_refused_at_once_with_the_time_of_the_next() {
+fn requests_are_refused_with_a_retry_time_when_all_upstreams_are_at_their_limits() {
     let mut fleet = Fleet::new(1);
     fleet.limit = LimitNotice::Advertised(1_000);
-    fleet.play(8_000, Class::Urgent);
+    fleet.run_for_ms(8_000, Class::Urgent);
     expect_that!(fleet.refused.len(), ge(1_000));
     expect_that!(fleet.refused.iter().all(|kind| *kind == ErrorKind::UpstreamsLimited), eq(true));
     let now_us = fleet.now_us;
@@ -116,26 +118,27 @@
 }
 
 #[gtest]
-fn an_upstream_that_names_no_limit_any_more_is_used_again_within_two_seconds() {
+fn upstream_is_used_again_within_two_seconds_after_its_limit_is_lifted() {
     let mut fleet = Fleet::new(6);
     fleet.limit = LimitNotice::Advertised(1_000);
-    fleet.play(6_000, Class::Routine);
+    fleet.run_for_ms(6_000, Class::Routine);
     fleet.limit = LimitNotice::Absent;
     let lifted_ms = fleet.now_us / US_PER_MS;
-    fleet.play(6_000, Class::Routine);
-    let got = |from_ms, until_ms| {
+    fleet.run_for_ms(6_000, Class::Routine);
+    let received = |from_ms, until_ms| {
         fleet
-            .got_ms
+            .received_ms
             .iter()
             .filter(|at_ms: &&u64| (lifted_ms + from_ms..lifted_ms + until_ms).contains(*at_ms))
             .count()
     };
-    expect_that!(got(2_000, 4_000), ge(50), "a sixth of 500 requests is 83");
+    expect_that!(received(2_000, 4_000), ge(50), "a sixth of 500 requests is 83");
 }
 
-/// An entry VM withheld all from an upstream from its first word on a limit until places were worked out the next time, up to half a second later.
+/// A new limit left the entry VM without a part until places were assigned again, up to half a second later,
+/// so that it withheld all requests from the upstream until then.
 #[gtest]
-fn a_limit_far_above_what_is_sent_withholds_nothing_before_places_are_worked_out() {
+fn high_limit_withholds_no_requests_before_places_are_assigned() {
     let limits = FleetLimits { entry_vms_max: ENTRY_VMS as u32, ..FleetLimits::default() };
     let mut balancer: ServiceBalancer<u32> = ServiceBalancer::new(&service(1), &limits, 1, START_US);
     balancer.reported(0, LoadReport::default(), START_US);
