--- a/crates/pointvane-balance/src/keys.rs
+++ b/crates/pointvane-balance/src/keys.rs
@@ -22,12 +22,12 @@
     /// Maximum lifetime of a key, in milliseconds.
     pub lifetime_max_ms: u64,
     /// Maximum total size of the stored responses, in bytes.
-    pub answer_bytes_max: usize,
+    pub stored_bytes_max: usize,
 }
 
 impl Default for KeyTableOptions {
     fn default() -> Self {
-        Self { keys_max: 200_000, lifetime_max_ms: 3_600_000, answer_bytes_max: 32 << 20 }
+        Self { keys_max: 200_000, lifetime_max_ms: 3_600_000, stored_bytes_max: 32 << 20 }
     }
 }
 
@@ -125,7 +125,7 @@
                 waiters.push(waiter);
                 KeyDecision::Joined
             }
-            Some(KeyRecord::Completed(Some(answer))) => KeyDecision::Replay(Arc::clone(answer)),
+            Some(KeyRecord::Completed(Some(response))) => KeyDecision::Replay(Arc::clone(response)),
             Some(KeyRecord::Completed(None)) => KeyDecision::Refuse(ErrorKind::AnswerNotKept),
             Some(KeyRecord::NotRun(kind)) => KeyDecision::Refuse(*kind),
             None if is_full => KeyDecision::Refuse(ErrorKind::KeysFull),
@@ -163,10 +163,10 @@
         }
         let record = match end {
             KeyEnd::NotRun(kind) => KeyRecord::NotRun(kind),
-            KeyEnd::Ran(answer) => {
+            KeyEnd::Ran(response) => {
                 let stored =
-                    answer.filter(|a| self.stored_bytes + a.size_bytes() <= self.options.answer_bytes_max);
-                self.stored_bytes += stored.as_ref().map_or(0, |answer| answer.size_bytes());
+                    response.filter(|a| self.stored_bytes + a.size_bytes() <= self.options.stored_bytes_max);
+                self.stored_bytes += stored.as_ref().map_or(0, |response| response.size_bytes());
                 KeyRecord::Completed(stored)
             }
         };
@@ -190,8 +190,8 @@
                 Some(KeyRecord::NotRun(_)) => {
                     self.records.remove(&id);
                 }
-                Some(KeyRecord::Completed(answer)) => {
-                    self.stored_bytes -= answer.as_ref().map_or(0, |answer| answer.size_bytes());
+                Some(KeyRecord::Completed(response)) => {
+                    self.stored_bytes -= response.as_ref().map_or(0, |response| response.size_bytes());
                     self.records.remove(&id);
                 }
                 None => {}
--- a/crates/pointvane-balance/src/service/pick.rs
+++ b/crates/pointvane-balance/src/service/pick.rs
@@ -47,13 +47,13 @@
         let is_bounded = self.service.policy == Policy::Shared && self.in_flight > 0;
         let queue_share = self.service.admission.queue_share as f32;
         let records = &self.records;
-        let is_active = |i: usize| {
+        let is_eligible = |i: usize| {
             let state = &self.upstreams[i];
             let is_withheld = state.upstream.evacuated || state.is_withheld(priority_of(class), now_us);
             !records[i].retired && !is_withheld && Some(i) != exclude
         };
         let is_confirmed =
-            |i: usize, s: &UpstreamState| is_active(i) && s.evidence.is_fresh(now_us, age_max_us);
+            |i: usize, s: &UpstreamState| is_eligible(i) && s.evidence.is_fresh(now_us, age_max_us);
         let is_healthy = |i: usize, s: &UpstreamState| is_confirmed(i, s) && !s.health.is_ejected(now_us);
         let has_room = |i: usize, s: &UpstreamState| {
             is_healthy(i, s) && (!is_bounded || s.has_room(&context, queue_share))
@@ -65,7 +65,7 @@
         if let Some(index) = self.chooser.choose(&self.upstreams, &context, has_room) {
             return Ok(index);
         }
-        let states = || self.upstreams.iter().enumerate().filter(|(i, _)| is_active(*i));
+        let states = || self.upstreams.iter().enumerate().filter(|(i, _)| is_eligible(*i));
         if states().any(|(i, state)| is_healthy(i, state)) {
             return Err(PickError::Full);
         }
--- a/crates/pointvane-balance/tests/keys.rs
+++ b/crates/pointvane-balance/tests/keys.rs
@@ -24,7 +24,7 @@
 type ResponseTable = KeyTable<Response, u32>;
 
 fn table(keys_max: usize) -> ResponseTable {
-    let options = KeyTableOptions { keys_max, lifetime_max_ms: LIFETIME_MAX_MS, answer_bytes_max: 100 };
+    let options = KeyTableOptions { keys_max, lifetime_max_ms: LIFETIME_MAX_MS, stored_bytes_max: 100 };
     KeyTable::new(options, "entry-1".into(), INCARNATION)
 }
 
