--- a/crates/pointvane-entry/src/admit.rs
+++ b/crates/pointvane-entry/src/admit.rs
@@ -1,22 +1,23 @@
-//! Third stage: waiting for the start.
+//! Third stage: admission control. A request starts at once, waits in its service's queue, or is refused.
 
 use {
     crate::{
-        classify::Classified,
-        service::{Attempt, Start},
+        classify::ClassifiedRequest,
+        service::{Admission, Attempt},
     },
     pointvane_balance::Arrival,
     pointvane_core::ErrorKind,
 };
 
-/// The first attempt, once it may start.
+/// Waits until the request may start and returns its first attempt.
 ///
 /// # Errors
-/// Why the request is refused; nothing was sent.
-pub async fn admit(request: &Classified) -> Result<Attempt, ErrorKind> {
+/// The reason for which the request is refused. Nothing has been sent to an upstream.
+/// [`ErrorKind::Stopping`] if the queue is dropped while the request waits.
+pub async fn admit(request: &ClassifiedRequest) -> Result<Attempt, ErrorKind> {
     let arrival = Arrival { class: request.class, deadline_us: request.deadline_us };
     match request.service.arrive(arrival)? {
-        Start::Now(attempt) => Ok(attempt),
-        Start::Later(told) => told.await.unwrap_or(Err(ErrorKind::Stopping)),
+        Admission::Immediate(attempt) => Ok(attempt),
+        Admission::Queued(receiver) => receiver.await.unwrap_or(Err(ErrorKind::Stopping)),
     }
 }
--- a/crates/pointvane-entry/src/answer.rs
+++ b/crates/pointvane-entry/src/answer.rs
@@ -1,7 +1,7 @@
-//! Last stage: answers to callers.
+//! Last stage: headers of the responses to callers, and responses for errors.
 
 use {
-    crate::body::{AnswerBody, UpstreamBody},
+    crate::body::{ResponseBody, UpstreamBody},
     hyper::{
         HeaderMap, Response, StatusCode,
         header::{CONNECTION, HeaderName, HeaderValue, RETRY_AFTER},
@@ -9,8 +9,8 @@
     pointvane_core::{ErrorKind, Outcome, header},
 };
 
-/// Headers that concern one connection only.
-const HOP_BY_HOP: [&str; 8] = [
+/// Hop-by-hop headers, which a proxy does not pass on.
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -21,27 +21,27 @@
     "upgrade",
 ];
 
-/// Removes headers that concern one connection only, those that `Connection` names included.
+/// Removes hop-by-hop headers, including those listed in `Connection`.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name);
     }
-    for name in HOP_BY_HOP {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
 
-/// The answer that the table gives for an error kind.
-pub fn refuse(kind: ErrorKind, retry_after_s: u64) -> Response<AnswerBody> {
+/// Builds the response for an error kind, with `Retry-After` in seconds where the kind has one.
+pub fn error_response(kind: ErrorKind, retry_after_s: u64) -> Response<ResponseBody> {
     let row = kind.answer();
-    let mut response = Response::new(AnswerBody::whole(format!("{}\n", row.name)));
+    let mut response = Response::new(ResponseBody::buffered(format!("{}\n", row.name)));
     *response.status_mut() = StatusCode::from_u16(row.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
     headers.insert(header::OUTCOME, HeaderValue::from_static(row.outcome.as_str()));
@@ -52,21 +52,22 @@
     response
 }
 
-/// An upstream's answer on its way to the caller.
-pub fn pass(response: Response<UpstreamBody>) -> Response<AnswerBody> {
-    let mut response = response.map(AnswerBody::Streamed);
+/// Passes an upstream's response on to the caller, with outcome `answered`.
+pub fn proxy_response(response: Response<UpstreamBody>) -> Response<ResponseBody> {
+    let mut response = response.map(ResponseBody::Streamed);
     mark_answered(response.headers_mut());
     response
 }
 
-/// Another entry VM's answer on its way to the caller: its outcome stays.
-pub fn relay(response: Response<UpstreamBody>) -> Response<AnswerBody> {
-    let mut response = response.map(AnswerBody::Streamed);
+/// Passes another entry VM's response on to the caller and keeps the outcome that the VM has set.
+pub fn proxy_entry_response(response: Response<UpstreamBody>) -> Response<ResponseBody> {
+    let mut response = response.map(ResponseBody::Streamed);
     strip_hop_by_hop(response.headers_mut());
     response
 }
 
-/// Marks an upstream's answer, whatever the upstream itself says of an outcome.
+/// Sets the outcome of an upstream's response to `answered`, overwriting any value set by the upstream, and
+/// removes hop-by-hop headers and the headers between upstreams and entry VMs.
 pub fn mark_answered(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     headers.remove(header::LOAD);
@@ -74,7 +75,7 @@
     headers.insert(header::OUTCOME, HeaderValue::from_static(Outcome::Answered.as_str()));
 }
 
-/// Tells the caller to use this connection no more.
-pub fn close_after(response: &mut Response<AnswerBody>) {
+/// Sets `Connection: close`, so that the caller does not reuse the connection.
+pub fn set_connection_close(response: &mut Response<ResponseBody>) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/pointvane-entry/src/answer_wait.rs
+++ b/crates/pointvane-entry/src/answer_wait.rs
@@ -1,10 +1,12 @@
-//! Waits for the head of an answer, and a little longer if the attempt is abandoned: what the upstream says of itself when it turns the request
-//! away would be lost with the connection. For how long: [`SentRequest`].
+//! Future that waits for the head of a response, and goes on reading for a short time after it is dropped.
+//!
+//! An upstream that rejects a request reports its load, back-off and limit in the response head. Closing the
+//! connection as soon as the attempt is abandoned would lose them. [`SentRequest`] computes how long to wait.
 
 use {
     crate::{
         connections::{Connection, SendError},
-        head_notices::HeadNotices,
+        head_notices::UpstreamNotices,
         notice_recorder::NoticeRecorder,
         request_body::RequestBody,
     },
@@ -19,57 +21,61 @@
     tokio::{runtime::Handle, time::timeout},
 };
 
-/// What came of a send, and the connection that it came on.
-type Sent = (Connection, Result<Response<Incoming>, SendError>);
+/// Result of a send, with the connection that it was made on.
+type SendResult = (Connection, Result<Response<Incoming>, SendError>);
 
-/// Sends a request, due at `answer_by_us`, and waits for the head of its answer.
+/// Sends a request with the deadline `answer_by_us`, and returns a future for the head of the response.
+///
+/// `answer_by_us` is in microseconds on the clock of the recorder's service.
 pub fn send(
     mut connection: Connection,
     request: Request<RequestBody>,
     recorder: NoticeRecorder,
     answer_by_us: u64,
-) -> AnswerWait<impl Future<Output = Sent> + Send + 'static> {
+) -> ResponseWait<impl Future<Output = SendResult> + Send + 'static> {
     let sent_at_us = recorder.service.now_us();
     let round_trip_us = connection.round_trip().as_micros() as u64;
-    let sending = async move {
-        let answer = connection.send(request).await;
-        (connection, answer)
+    let exchange = async move {
+        let response = connection.send(request).await;
+        (connection, response)
     };
-    let times = SentRequest { sent_at_us, answer_by_us, round_trip_us };
-    AnswerWait { sending: Some(Box::pin(sending)), recorder, times }
+    let timing = SentRequest { sent_at_us, answer_by_us, round_trip_us };
+    ResponseWait { exchange: Some(Box::pin(exchange)), recorder, timing }
 }
 
-/// The wait for the head of an answer; dropped before it came, it goes on by itself for a while.
-pub struct AnswerWait<F: Future<Output = Sent> + Send + 'static> {
-    /// None once the head has come.
-    sending: Option<Pin<Box<F>>>,
+/// Future for the head of a response. If dropped before it completes, a background task waits for the head
+/// for a bounded time and records its notices.
+pub struct ResponseWait<F: Future<Output = SendResult> + Send + 'static> {
+    /// `None` once the head has been received.
+    exchange: Option<Pin<Box<F>>>,
     recorder: NoticeRecorder,
-    times: SentRequest,
+    timing: SentRequest,
 }
 
-impl<F: Future<Output = Sent> + Send + 'static> Future for AnswerWait<F> {
-    type Output = Sent;
+impl<F: Future<Output = SendResult> + Send + 'static> Future for ResponseWait<F> {
+    type Output = SendResult;
 
-    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Sent> {
-        let Some(sending) = &mut self.sending else { return Poll::Pending };
-        let sent = sending.as_mut().poll(cx);
-        if sent.is_ready() {
-            self.sending = None;
+    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<SendResult> {
+        let Some(exchange) = &mut self.exchange else { return Poll::Pending };
+        let result = exchange.as_mut().poll(cx);
+        if result.is_ready() {
+            self.exchange = None;
         }
-        sent
+        result
     }
 }
 
-impl<F: Future<Output = Sent> + Send + 'static> Drop for AnswerWait<F> {
+impl<F: Future<Output = SendResult> + Send + 'static> Drop for ResponseWait<F> {
     fn drop(&mut self) {
-        // Without a runtime the process is ending, and nothing is sent any more.
-        let (Some(sending), Ok(runtime)) = (self.sending.take(), Handle::try_current()) else { return };
+        // Without a runtime the process is exiting, and nothing more is sent.
+        let (Some(exchange), Ok(runtime)) = (self.exchange.take(), Handle::try_current()) else { return };
         let now_us = self.recorder.service.now_us();
-        let heeded_for = Duration::from_micros(self.times.heeded_until_us(now_us).saturating_sub(now_us));
+        let notice_timeout =
+            Duration::from_micros(self.timing.heeded_until_us(now_us).saturating_sub(now_us));
         let recorder = self.recorder.clone();
         runtime.spawn(async move {
-            if let Ok((_, Ok(answer))) = timeout(heeded_for, sending).await {
-                recorder.heed(HeadNotices::of(&answer));
+            if let Ok((_, Ok(response))) = timeout(notice_timeout, exchange).await {
+                recorder.record(UpstreamNotices::from_response(&response));
             }
         });
     }
--- a/crates/pointvane-entry/src/body.rs
+++ b/crates/pointvane-entry/src/body.rs
@@ -1,6 +1,6 @@
-//! Bodies of answers that stream through the entry VM.
+//! Bodies of responses, streamed through the entry VM.
 //!
-//! Relies on the connection that a body comes on; bodies of requests are in `request_body.rs`.
+//! An upstream's body owns the connection that it is read from. Request bodies are in `request_body.rs`.
 
 use {
     crate::{connections::Connection, service::Attempt},
@@ -15,7 +15,7 @@
     },
 };
 
-/// An upstream's body, with what must happen when it ends.
+/// An upstream's response body. At its end the attempt is ended and the connection returns to the pool.
 #[derive(Debug)]
 pub struct UpstreamBody {
     incoming: Incoming,
@@ -25,8 +25,8 @@
 }
 
 impl UpstreamBody {
-    /// A body whose attempt ends as `end` once all of it came. Dropped earlier, the attempt counts as
-    /// cancelled and its connection is closed.
+    /// Creates a body whose attempt ends as `end` after the last byte. If the body is dropped earlier, the
+    /// attempt ends as cancelled and the connection is closed.
     pub fn new(
         incoming: Incoming,
         connection: Connection,
@@ -35,21 +35,21 @@
     ) -> Self {
         let mut body = Self { incoming, connection: Some(connection), attempt, end };
         if body.incoming.is_end_stream() {
-            body.ended();
+            body.finish();
         }
         body
     }
 
-    fn ended(&mut self) {
+    fn finish(&mut self) {
         if let Some(attempt) = self.attempt.take() {
             attempt.end(self.end);
         }
         if let Some(connection) = self.connection.take() {
-            connection.keep();
+            connection.release();
         }
     }
 
-    fn broke(&mut self) {
+    fn fail(&mut self) {
         self.connection = None;
         if let Some(attempt) = self.attempt.take() {
             attempt.end(AttemptEnd::Failed);
@@ -67,10 +67,10 @@
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let frame = ready!(Pin::new(&mut self.incoming).poll_frame(cx));
         match &frame {
-            None => self.ended(),
-            Some(Err(_)) => self.broke(),
-            // With a known length the server stops asking after the last byte.
-            Some(Ok(_)) if self.incoming.is_end_stream() => self.ended(),
+            None => self.finish(),
+            Some(Err(_)) => self.fail(),
+            // With a known content length, the server does not poll again after the last byte.
+            Some(Ok(_)) if self.incoming.is_end_stream() => self.finish(),
             Some(Ok(_)) => {}
         }
         Poll::Ready(frame)
@@ -85,29 +85,29 @@
     }
 }
 
-/// The body of an answer to a caller.
+/// Body of a response to a caller.
 #[derive(Debug)]
-pub enum AnswerBody {
-    /// Held whole in memory.
-    Whole(Full<Bytes>),
+pub enum ResponseBody {
+    /// Held completely in memory.
+    Buffered(Full<Bytes>),
     /// Streamed from an upstream.
     Streamed(UpstreamBody),
-    /// The start was read already; the rest is streamed.
-    Resumed(Option<Bytes>, UpstreamBody),
+    /// The first bytes have already been read into memory; the rest is streamed.
+    Prefixed(Option<Bytes>, UpstreamBody),
 }
 
-impl AnswerBody {
-    /// A body held whole.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Full::new(bytes.into()))
+impl ResponseBody {
+    /// Creates a body from bytes in memory.
+    pub fn buffered(bytes: impl Into<Bytes>) -> Self {
+        Self::Buffered(Full::new(bytes.into()))
     }
 }
 
-fn infallible<T>(frame: Result<T, Infallible>) -> Result<T, hyper::Error> {
-    frame.map_err(|never| match never {})
+fn widen_error<T>(frame: Result<T, Infallible>) -> Result<T, hyper::Error> {
+    frame.map_err(|error| match error {})
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -116,9 +116,9 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         match self.get_mut() {
-            Self::Whole(full) => Pin::new(full).poll_frame(cx).map(|frame| frame.map(infallible)),
+            Self::Buffered(full) => Pin::new(full).poll_frame(cx).map(|frame| frame.map(widen_error)),
             Self::Streamed(body) => Pin::new(body).poll_frame(cx),
-            Self::Resumed(start, body) => match start.take() {
+            Self::Prefixed(prefix, body) => match prefix.take() {
                 Some(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
                 None => Pin::new(body).poll_frame(cx),
             },
@@ -127,17 +127,17 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(full) => full.is_end_stream(),
+            Self::Buffered(full) => full.is_end_stream(),
             Self::Streamed(body) => body.is_end_stream(),
-            Self::Resumed(start, body) => start.is_none() && body.is_end_stream(),
+            Self::Prefixed(prefix, body) => prefix.is_none() && body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(full) => full.size_hint(),
+            Self::Buffered(full) => full.size_hint(),
             Self::Streamed(body) => body.size_hint(),
-            Self::Resumed(..) => SizeHint::default(),
+            Self::Prefixed(..) => SizeHint::default(),
         }
     }
 }
--- a/crates/pointvane-entry/src/classify.rs
+++ b/crates/pointvane-entry/src/classify.rs
@@ -1,4 +1,4 @@
-//! Second stage: from a request's head to a typed description.
+//! Second stage: parses a request's head into a typed description.
 
 use {
     crate::{routes::Routes, service::ServiceHandle},
@@ -7,74 +7,79 @@
     std::sync::Arc,
 };
 
-/// What a request is.
+/// Description of a request, parsed from its head.
 #[derive(Debug)]
-pub struct Classified {
-    /// Whose it is.
+pub struct ClassifiedRequest {
+    /// The service that the request is routed to.
     pub service: Arc<ServiceHandle>,
-    /// How urgent it is.
+    /// Priority class.
     pub class: Class,
-    /// When its caller stops waiting.
+    /// Deadline in microseconds on the entry's clock.
     pub deadline_us: u64,
-    /// Whether the caller named the deadline itself.
-    pub deadline_named: bool,
-    /// Whether it may run more than once.
-    pub repeatable: bool,
-    /// The key of work that may not be repeated.
+    /// Whether the deadline comes from the request rather than from the service's default.
+    pub explicit_deadline: bool,
+    /// Whether the method is GET, HEAD or OPTIONS, so that the request may run more than once.
+    pub idempotent: bool,
+    /// Idempotency key; required for all other methods.
     pub key: Option<IdempotencyKey>,
 }
 
-/// The key of a request; it is read before all else, since it bounds what may be said of the rest.
+/// Parses the idempotency key of a request.
+///
+/// This comes before all other checks: when one of them fails, the key decides whether the response may claim
+/// that the request did not run.
 ///
 /// # Errors
-/// When it is malformed, and so can never run.
-pub fn key(head: &Parts) -> Result<Option<IdempotencyKey>, ErrorKind> {
-    match text(head, header::KEY)? {
+/// [`ErrorKind::KeyInvalid`] if the key is malformed; a request with such a key never runs.
+/// [`ErrorKind::BadRequest`] if the header occurs more than once or is not text.
+pub fn parse_key(head: &Parts) -> Result<Option<IdempotencyKey>, ErrorKind> {
+    match single_header(head, header::KEY)? {
         Some(text) => IdempotencyKey::parse(text).map(Some).map_err(|_| ErrorKind::KeyInvalid),
         None => Ok(None),
     }
 }
 
-/// Describes a request that arrived at `now_us`.
+/// Classifies a request that arrived at `now_us`.
 ///
 /// # Errors
-/// Why it cannot be served.
+/// [`ErrorKind::NotReady`] without a configuration, [`ErrorKind::NoSuchService`] without a matching route,
+/// [`ErrorKind::BadRequest`] for a malformed header, [`ErrorKind::KeyMissing`] if the method needs a key.
 pub fn classify(
     head: &Parts,
     key: Option<IdempotencyKey>,
     routes: &Routes,
     now_us: u64,
-) -> Result<Classified, ErrorKind> {
+) -> Result<ClassifiedRequest, ErrorKind> {
     if routes.revision == 0 {
         return Err(ErrorKind::NotReady);
     }
-    let host = text(head, HOST.as_str())?.or_else(|| head.uri.host()).unwrap_or_default();
+    let host = single_header(head, HOST.as_str())?.or_else(|| head.uri.host()).unwrap_or_default();
     let service = routes.find(host, head.uri.path()).ok_or(ErrorKind::NoSuchService)?;
-    let class = match text(head, header::CLASS)? {
+    let class = match single_header(head, header::CLASS)? {
         Some(text) => Class::parse(text).ok_or(ErrorKind::BadRequest)?,
         None => Class::default(),
     };
-    let named_ms = match text(head, header::DEADLINE_MS)? {
+    let explicit_ms = match single_header(head, header::DEADLINE_MS)? {
         Some(text) => Some(text.parse::<u64>().map_err(|_| ErrorKind::BadRequest)?),
         None => None,
     };
-    let deadline_ms = named_ms.unwrap_or_else(|| service.lock().service().deadline_ms);
-    let repeatable = matches!(head.method, Method::GET | Method::HEAD | Method::OPTIONS);
-    if key.is_none() && !repeatable {
+    let deadline_ms = explicit_ms.unwrap_or_else(|| service.lock().service().deadline_ms);
+    let idempotent = matches!(head.method, Method::GET | Method::HEAD | Method::OPTIONS);
+    if key.is_none() && !idempotent {
         return Err(ErrorKind::KeyMissing);
     }
-    Ok(Classified {
+    Ok(ClassifiedRequest {
         service: Arc::clone(service),
         class,
         deadline_us: now_us.saturating_add(deadline_ms.saturating_mul(US_PER_MS)),
-        deadline_named: named_ms.is_some(),
-        repeatable,
+        explicit_deadline: explicit_ms.is_some(),
+        idempotent,
         key,
     })
 }
 
-/// A header's only value as text; none if it is absent.
-fn text<'h>(head: &'h Parts, name: &str) -> Result<Option<&'h str>, ErrorKind> {
+/// Returns the value of a header as text, or `None` if it is absent. Repeated headers are an error.
+fn single_header<'h>(head: &'h Parts, name: &str) -> Result<Option<&'h str>, ErrorKind> {
     let mut values = head.headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (None, _) => Ok(None),
--- a/crates/pointvane-entry/src/connections.rs
+++ b/crates/pointvane-entry/src/connections.rs
@@ -1,7 +1,8 @@
-//! Kept connections to upstreams and to other entry VMs.
+//! Pool of HTTP/1.1 connections to upstreams and to other entry VMs.
 //!
-//! A connection carries one request at a time and is kept only after a whole answer. Nothing here sends a
-//! request twice: a request whose connection died unused is given back by `hyper`, unsent.
+//! A connection carries one request at a time and returns to the pool only after a complete response. The
+//! pool never sends a request twice: if an idle connection turns out to be closed, `hyper` returns the
+//! request unsent.
 
 use {
     crate::request_body::RequestBody,
@@ -23,125 +24,126 @@
     tokio::{net::TcpStream, time::timeout},
 };
 
-/// Idle connections kept to one address. Not measured.
-const IDLE_MAX: usize = 64;
-/// Idle connections opened ahead to one address, so that requests rarely wait for a new one.
+/// Maximum number of idle connections per address.
+const IDLE_PER_ADDRESS_MAX: usize = 64;
+/// Idle connections opened ahead of demand per address, so that requests rarely wait for a new connection.
 ///
-/// Before that, such waits made the p99 of the time added 1.6 to 1.8 ms in the demo (docs/DESIGN.md).
-const SPARE: usize = 4;
-/// Longest time for a new connection. Not measured.
+/// Without them, these waits raised the p99 of the added latency to 1.6-1.8 ms (docs/DESIGN.md).
+const SPARE_PER_ADDRESS: usize = 4;
+/// Timeout of the TCP handshake of a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-type Idle = Mutex<HashMap<SocketAddr, Place>>;
+type AddressPools = Mutex<HashMap<SocketAddr, AddressPool>>;
 
-/// An open connection that carries no request.
+/// An open connection and the time that it took to open.
 #[derive(Debug)]
-struct Opened {
+struct OpenConnection {
     sender: SendRequest<RequestBody>,
-    /// Time that it took to open.
+    /// Duration of the TCP handshake.
     round_trip: Duration,
 }
 
-/// The idle connections of one address.
+/// Idle connections to one address, and the number of those being opened.
 #[derive(Debug, Default)]
-struct Place {
-    idle: Vec<Opened>,
+struct AddressPool {
+    idle: Vec<OpenConnection>,
     opening: usize,
 }
 
-/// Kept connections by address.
+/// Pool of connections by address. Clones share the pool.
 #[derive(Clone, Debug, Default)]
-pub struct Connections {
-    idle: Arc<Idle>,
+pub struct ConnectionPool {
+    pools: Arc<AddressPools>,
 }
 
-/// A connection checked out for one request; closed when dropped without [`Self::keep`].
+/// A connection checked out for one request; closed if dropped without [`Self::release`].
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
-    opened: Opened,
-    idle: Arc<Idle>,
+    opened: OpenConnection,
+    pools: Arc<AddressPools>,
 }
 
-/// Why there is no answer.
+/// Reason for which there is no response.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte was sent; here is the request.
+    /// No byte was sent; holds the request.
     Unsent(Box<Request<RequestBody>>),
-    /// Some of it may have been sent.
+    /// Part of the request may have been sent.
     Broken,
 }
 
-/// No connection could be made.
+/// The connection could not be established.
 #[derive(Clone, Copy, Debug)]
 pub struct Unreachable;
 
-impl Connections {
-    /// A kept connection that still stands, or a new one.
+impl ConnectionPool {
+    /// Returns an idle connection that is still open, or opens one.
     ///
     /// # Errors
-    /// [`Unreachable`] when none can be made.
-    pub async fn get(&self, address: SocketAddr) -> Result<Connection, Unreachable> {
-        while let Some(mut opened) = self.pop(address) {
-            if ready_now(&mut opened.sender).await {
+    /// [`Unreachable`] if connecting fails or times out.
+    pub async fn acquire(&self, address: SocketAddr) -> Result<Connection, Unreachable> {
+        while let Some(mut opened) = self.pop_idle(address) {
+            if is_ready(&mut opened.sender).await {
                 self.open_spare(address);
-                return Ok(Connection { address, opened, idle: Arc::clone(&self.idle) });
+                return Ok(Connection { address, opened, pools: Arc::clone(&self.pools) });
             }
         }
         let opened = open(address).await?;
         self.open_spare(address);
-        Ok(Connection { address, opened, idle: Arc::clone(&self.idle) })
+        Ok(Connection { address, opened, pools: Arc::clone(&self.pools) })
     }
 
-    fn pop(&self, address: SocketAddr) -> Option<Opened> {
-        lock(&self.idle).get_mut(&address)?.idle.pop()
+    fn pop_idle(&self, address: SocketAddr) -> Option<OpenConnection> {
+        lock(&self.pools).get_mut(&address)?.idle.pop()
     }
 
-    /// Opens one connection ahead if few are idle; only after one was had, so never to what cannot be reached.
+    /// Opens one connection in the background if few are idle. Called only after a connection was obtained,
+    /// so never for an unreachable address.
     fn open_spare(&self, address: SocketAddr) {
-        let mut places = lock(&self.idle);
-        let place = places.entry(address).or_default();
-        if place.idle.len() + place.opening >= SPARE {
+        let mut guard = lock(&self.pools);
+        let address_pool = guard.entry(address).or_default();
+        if address_pool.idle.len() + address_pool.opening >= SPARE_PER_ADDRESS {
             return;
         }
-        place.opening += 1;
-        drop(places);
-        let idle = Arc::clone(&self.idle);
+        address_pool.opening += 1;
+        drop(guard);
+        let pools = Arc::clone(&self.pools);
         tokio::spawn(async move {
             let opened = open(address).await;
-            let mut places = lock(&idle);
-            let place = places.entry(address).or_default();
-            place.opening -= 1;
-            // The oldest stand at the front and are used last.
-            place.idle.splice(0..0, opened.ok());
+            let mut guard = lock(&pools);
+            let address_pool = guard.entry(address).or_default();
+            address_pool.opening -= 1;
+            // Connections are taken from the back, so spare ones at the front are used last.
+            address_pool.idle.splice(0..0, opened.ok());
         });
     }
 }
 
-async fn open(address: SocketAddr) -> Result<Opened, Unreachable> {
-    let began = Moment::now();
+async fn open(address: SocketAddr) -> Result<OpenConnection, Unreachable> {
+    let started_at = Moment::now();
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = stream.map_err(|_| Unreachable)?.map_err(|_| Unreachable)?;
-    let round_trip = began.elapsed();
+    let round_trip = started_at.elapsed();
     stream.set_nodelay(true).map_err(|_| Unreachable)?;
     let (sender, driver) = http1::handshake(TokioIo::new(stream)).await.map_err(|_| Unreachable)?;
     tokio::spawn(driver);
-    Ok(Opened { sender, round_trip })
+    Ok(OpenConnection { sender, round_trip })
 }
 
-fn lock(idle: &Idle) -> MutexGuard<'_, HashMap<SocketAddr, Place>> {
-    idle.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(pools: &AddressPools) -> MutexGuard<'_, HashMap<SocketAddr, AddressPool>> {
+    pools.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn ready_now(sender: &mut SendRequest<RequestBody>) -> bool {
+async fn is_ready(sender: &mut SendRequest<RequestBody>) -> bool {
     poll_fn(|cx| Poll::Ready(matches!(sender.poll_ready(cx), Poll::Ready(Ok(()))))).await
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     ///
     /// # Errors
-    /// Whether any byte may have been sent.
+    /// [`SendError`], which tells whether any byte may have been sent.
     pub async fn send(&mut self, request: Request<RequestBody>) -> Result<Response<Incoming>, SendError> {
         self.opened.sender.try_send_request(request).await.map_err(|mut error| match error.take_message() {
             Some(request) => SendError::Unsent(Box::new(request)),
@@ -149,17 +151,17 @@
         })
     }
 
-    /// Time that it took to open: the path to its upstream, there and back.
+    /// Duration of the TCP handshake, as an estimate of the network round trip.
     pub fn round_trip(&self) -> Duration {
         self.opened.round_trip
     }
 
-    /// Keeps the connection for another request.
-    pub fn keep(self) {
-        let mut places = lock(&self.idle);
-        let kept = &mut places.entry(self.address).or_default().idle;
-        if kept.len() < IDLE_MAX && !self.opened.sender.is_closed() {
-            kept.push(self.opened);
+    /// Returns the connection to the pool, unless it is closed or the pool is full.
+    pub fn release(self) {
+        let mut guard = lock(&self.pools);
+        let idle = &mut guard.entry(self.address).or_default().idle;
+        if idle.len() < IDLE_PER_ADDRESS_MAX && !self.opened.sender.is_closed() {
+            idle.push(self.opened);
         }
     }
 }
--- a/crates/pointvane-entry/src/counters.rs
+++ b/crates/pointvane-entry/src/counters.rs
@@ -1,4 +1,4 @@
-//! EntryCounters and histograms of the data path; docs/METRICS.md lists them.
+//! Counters and histograms of the data path; docs/METRICS.md lists them.
 
 use {
     opentelemetry::{
@@ -8,11 +8,11 @@
     pointvane_core::{Class, ErrorKind, Name},
 };
 
-/// Bounds of the time histograms, in seconds.
+/// Bucket bounds of the latency histograms, in seconds.
 const TIME_BOUNDS_S: [f64; 14] =
     [0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// EntryCounters and histograms of the data path.
+/// Counters and histograms of the data path.
 #[derive(Clone, Debug)]
 pub struct EntryCounters {
     requests: Counter<u64>,
@@ -29,7 +29,7 @@
 }
 
 impl EntryCounters {
-    /// The instruments of one process.
+    /// Creates the instruments of the process.
     pub fn new(meter: &Meter) -> Self {
         let counter = |name: &'static str| meter.u64_counter(name).build();
         let histogram = |name: &'static str| {
@@ -50,52 +50,52 @@
         }
     }
 
-    /// A request got the head of its answer, `time_s` after it was read.
+    /// Counts a request whose response head was received `time_s` seconds after the request was read.
     pub fn answered(&self, service: &Name, class: Class, time_s: f64) {
         let labels = [service_label(service), KeyValue::new("class", class.as_str())];
         self.requests.add(1, &labels);
         self.request_s.record(time_s, &labels);
     }
 
-    /// A request was answered by the table of error kinds.
+    /// Counts a request that was answered with an error of the entry itself.
     pub fn refused(&self, kind: ErrorKind) {
         let row = kind.answer();
         let labels = [KeyValue::new("error", row.name), KeyValue::new("outcome", row.outcome.as_str())];
         self.refusals.add(1, &labels);
     }
 
-    /// A request goes to an upstream.
+    /// Counts an attempt at an upstream.
     pub fn attempted(&self) {
         self.attempts.add(1, &[]);
     }
 
-    /// A request goes to another upstream.
+    /// Counts a retry at another upstream.
     pub fn retried(&self) {
         self.retries.add(1, &[]);
     }
 
-    /// A request goes to a second upstream as well.
+    /// Counts a hedged attempt, which runs beside the first one.
     pub fn hedged(&self) {
         self.hedges.add(1, &[]);
     }
 
-    /// An upstream is asked for its load.
+    /// Counts a load probe.
     pub fn probed(&self) {
         self.probes.add(1, &[]);
     }
 
-    /// An upstream gave the head of an answer after this time.
-    pub fn upstream_took(&self, service: &Name, time_s: f64) {
+    /// Records the time from the start of an attempt to the head of the upstream's response, in seconds.
+    pub fn upstream_responded(&self, service: &Name, time_s: f64) {
         self.upstream_s.record(time_s, &[service_label(service)]);
     }
 
-    /// A load datagram was sent; `bytes` counts the IP and UDP heads.
+    /// Counts a load datagram sent; `bytes` includes the IP and UDP headers.
     pub fn load_sent(&self, bytes: usize) {
         self.load_datagrams.add(1, &[]);
         self.load_bytes.add(bytes as u64, &[]);
     }
 
-    /// A load datagram was dropped.
+    /// Counts a load datagram received and dropped.
     pub fn load_dropped(&self, reason: &'static str) {
         self.load_dropped.add(1, &[KeyValue::new("reason", reason)]);
     }
--- a/crates/pointvane-entry/src/entry.rs
+++ b/crates/pointvane-entry/src/entry.rs
@@ -1,14 +1,14 @@
-//! The state that all stages share.
+//! State shared by all stages.
 
 use {
     crate::{
-        connections::Connections,
+        connections::ConnectionPool,
         counters::EntryCounters,
-        kept_answer::{Joiner, KeptAnswer},
+        kept_answer::{ResponseSender, StoredResponse},
         members::Members,
         routes::Routes,
         service::ServiceHandle,
-        transitions::Transitions,
+        transitions::TransitionTracker,
     },
     pointvane_balance::{KeyTable, KeyTableOptions},
     pointvane_config::{Configuration, Settings},
@@ -24,31 +24,31 @@
 /// The state of one entry process.
 #[derive(Debug)]
 pub struct Entry {
-    /// The VM's settings.
+    /// Settings of the VM.
     pub settings: Settings,
-    /// This life.
+    /// Incarnation of this process, from the wall clock at its start.
     pub incarnation: Incarnation,
-    /// The time.
+    /// Clock of all times in the process.
     pub clock: MonotonicClock,
-    /// The time line.
+    /// Event log.
     pub events: Arc<EventLog>,
-    /// EntryCounters and histograms.
+    /// Counters and histograms.
     pub counters: EntryCounters,
-    /// Kept connections to upstreams and other entries.
-    pub connections: Connections,
-    /// Requests whose keys run, callers gone or not.
-    pub keyed_running: AtomicU64,
-    /// A stop was asked for.
+    /// Connections to upstreams and other entry VMs.
+    pub connections: ConnectionPool,
+    /// Running requests with an idempotency key, including those whose callers have disconnected.
+    pub keyed_in_flight: AtomicU64,
+    /// Whether a stop has been requested.
     pub stopping: AtomicBool,
-    keys: Mutex<KeyTable<KeptAnswer, Joiner>>,
+    keys: Mutex<KeyTable<StoredResponse, ResponseSender>>,
     stamp: Mutex<Stamp>,
     routes: RwLock<Arc<Routes>>,
     members: RwLock<Arc<Members>>,
-    transitions: Mutex<Transitions>,
+    transitions: Mutex<TransitionTracker>,
 }
 
 impl Entry {
-    /// An entry that knows no configuration yet.
+    /// Creates the state without a configuration.
     pub fn new(settings: Settings, events: Arc<EventLog>, counters: EntryCounters) -> Self {
         let incarnation = Incarnation(wall_ms());
         let keys = KeyTable::new(KeyTableOptions::default(), settings.vm.name.clone(), incarnation);
@@ -58,8 +58,8 @@
             clock: MonotonicClock::start(),
             events,
             counters,
-            connections: Connections::default(),
-            keyed_running: AtomicU64::new(0),
+            connections: ConnectionPool::default(),
+            keyed_in_flight: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             keys: Mutex::new(keys),
             stamp: Mutex::default(),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The routes in force.
+    /// The current routes.
     pub fn routes(&self) -> Arc<Routes> {
         Arc::clone(&self.routes.read().unwrap_or_else(PoisonError::into_inner))
     }
@@ -79,22 +79,22 @@
         Arc::clone(&self.members.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Takes the members.
+    /// Replaces the list of members.
     pub fn set_members(&self, members: Members) {
         *self.members.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(members);
     }
 
-    /// The keys of this life.
-    pub fn keys(&self) -> MutexGuard<'_, KeyTable<KeptAnswer, Joiner>> {
+    /// The table of idempotency keys of this incarnation.
+    pub fn keys(&self) -> MutexGuard<'_, KeyTable<StoredResponse, ResponseSender>> {
         self.keys.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a stop was asked for.
+    /// Whether a stop has been requested.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Requests in flight and waiting, all services together.
+    /// Number of requests in flight and waiting, over all services.
     pub fn requests(&self) -> u32 {
         let routes = self.routes();
         let counts = routes.services.iter().map(|service| {
@@ -104,20 +104,21 @@
         counts.sum()
     }
 
-    /// Whether a configuration is newer than the one in force; from now on it counts as that.
+    /// Advances to a configuration's stamp. Returns whether it is newer than the current one.
     pub fn advance(&self, stamp: Stamp) -> bool {
-        let mut held = self.stamp.lock().unwrap_or_else(PoisonError::into_inner);
-        let newer = stamp > *held;
-        *held = (*held).max(stamp);
+        let mut current = self.stamp.lock().unwrap_or_else(PoisonError::into_inner);
+        let newer = stamp > *current;
+        *current = (*current).max(stamp);
         newer
     }
 
-    /// Puts a configuration in force; services that stay keep what is in flight and known.
+    /// Applies a configuration. Services that are in both the old and the new one keep their requests in
+    /// flight and the state of their upstreams.
     pub fn configure(&self, configuration: &Configuration) {
         let old = self.routes();
         let handles = configuration.services.iter().map(|service| {
-            let known = old.services.iter().find(|handle| handle.name == service.name);
-            match known {
+            let existing = old.services.iter().find(|handle| handle.name == service.name);
+            match existing {
                 Some(handle) => {
                     handle.lock().configure(service, &configuration.limits, handle.now_us());
                     Arc::clone(handle)
@@ -132,8 +133,8 @@
         *self.routes.write().unwrap_or_else(PoisonError::into_inner) = routes;
     }
 
-    /// Takes the platform's list of VMs.
-    pub fn listed(&self, list: &VmList) {
+    /// Applies the platform's list of VMs.
+    pub fn apply_vm_list(&self, list: &VmList) {
         for service in &self.routes().services {
             let now_us = service.now_us();
             let mut balancer = service.lock();
@@ -143,26 +144,26 @@
         }
     }
 
-    /// Works out anew which part of each upstream's limit this VM may send.
-    pub fn place_limits(&self) {
+    /// Recomputes this VM's share of each upstream's request limit.
+    pub fn update_limit_shares(&self) {
         let members = self.members();
         for service in &self.routes().services {
             let now_us = service.now_us();
             let mut balancer = service.lock();
-            let unknown = balancer.limit_place_without_members();
+            let fallback = balancer.limit_place_without_members();
             let place = |upstream: &Name| {
-                (!self.is_stopping()).then(|| members.limit_place(upstream).unwrap_or(unknown))
+                (!self.is_stopping()).then(|| members.limit_place(upstream).unwrap_or(fallback))
             };
             balancer.place_limits(place, now_us);
         }
     }
 
-    /// Notes on the time line which services and upstreams changed their state since the last call.
-    pub fn note_transitions(&self) {
+    /// Logs an event for each service and upstream whose state has changed since the last call.
+    pub fn log_transitions(&self) {
         let mut transitions = self.transitions.lock().unwrap_or_else(PoisonError::into_inner);
         for service in &self.routes().services {
             let upstreams = service.summaries();
-            let events = transitions.take(&service.name, service.overloaded(), &upstreams);
+            let events = transitions.update(&service.name, service.overload_refusals(), &upstreams);
             events.into_iter().for_each(|event| self.events.note(event));
         }
     }
--- a/crates/pointvane-entry/src/exchange.rs
+++ b/crates/pointvane-entry/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Telling and hearing load between entry VMs, over UDP.
+//! Exchange of load observations and upstream limits between entry VMs, over UDP.
 
 use {
     crate::entry::Entry,
@@ -11,31 +11,32 @@
     tokio::{net::UdpSocket, time::interval},
 };
 
-/// What is left of the VM's control bytes to its control: more than it needs at rest among 1,800 VMs.
-const GOSSIP_BYTES_PER_S: u32 = 3_000;
-/// Time between two ticks. Not measured.
-const TICK: Duration = Duration::from_millis(1);
-/// Limits of upstreams in one datagram at most.
-const LIMITS_MAX: usize = 12;
-/// Ticks between two looks at the list of members.
-const MEMBERS_EVERY: u64 = 100;
+/// Part of the VM's budget for control traffic that is reserved for the gossip of its control process. This
+/// is more than gossip needs in a steady state with 1,800 VMs.
+const GOSSIP_RESERVE_BYTES_PER_S: u32 = 3_000;
+/// Interval at which sending is considered.
+const TICK_INTERVAL: Duration = Duration::from_millis(1);
+/// Maximum number of upstream limits in one datagram.
+const LIMITS_PER_DATAGRAM_MAX: usize = 12;
+/// Ticks between two reads of the member list.
+const MEMBERS_REFRESH_TICKS: u64 = 100;
 
-/// Tells and hears load for as long as the process lives.
-pub async fn exchange(entry: Arc<Entry>, socket: UdpSocket) {
+/// Sends and receives load datagrams until the process exits.
+pub async fn exchange_load(entry: Arc<Entry>, socket: UdpSocket) {
     let socket = Arc::new(socket);
-    tokio::join!(send_rounds(Arc::clone(&entry), Arc::clone(&socket)), receive(entry, socket));
+    tokio::join!(send_loop(Arc::clone(&entry), Arc::clone(&socket)), receive_loop(entry, socket));
 }
 
-async fn send_rounds(entry: Arc<Entry>, socket: Arc<UdpSocket>) {
-    let mut ticks = interval(TICK);
+async fn send_loop(entry: Arc<Entry>, socket: Arc<UdpSocket>) {
+    let mut ticks = interval(TICK_INTERVAL);
     let now_us = entry.clock.now_us();
     let mut sender = LoadSender::new(LoadSenderOptions::default(), entry.incarnation, now_us);
     let mut peers: Vec<SocketAddr> = Vec::new();
     for tick in 0_u64.. {
         ticks.tick().await;
-        if tick.is_multiple_of(MEMBERS_EVERY) {
+        if tick.is_multiple_of(MEMBERS_REFRESH_TICKS) {
             peers = entry.members().load_peers().collect();
-            entry.place_limits();
+            entry.update_limit_shares();
         }
         send_round(&entry, &socket, &mut sender, &peers).await;
     }
@@ -44,21 +45,21 @@
 async fn send_round(entry: &Entry, socket: &UdpSocket, sender: &mut LoadSender, peers: &[SocketAddr]) {
     let now_us = entry.clock.now_us();
     let routes = entry.routes();
-    sender.set_bytes_per_s(routes.control_bytes_per_s.saturating_sub(GOSSIP_BYTES_PER_S));
-    let round = sender.round_size(peers.len(), now_us);
-    if round == 0 {
+    sender.set_bytes_per_s(routes.control_bytes_per_s.saturating_sub(GOSSIP_RESERVE_BYTES_PER_S));
+    let fanout = sender.round_size(peers.len(), now_us);
+    if fanout == 0 {
         return;
     }
-    let limits = gather_limits(entry);
-    let services = gather(entry, sender.observations_max(), sender.rounds());
+    let limits = collect_limits(entry);
+    let services = collect_observations(entry, sender.observations_max(), sender.rounds());
     if services.is_empty() && limits.is_empty() {
         return;
     }
-    let told = (services, limits);
-    let Some(bytes) = sender.next_datagram(routes.revision, entry.requests(), told, round, now_us) else {
+    let payload = (services, limits);
+    let Some(bytes) = sender.next_datagram(routes.revision, entry.requests(), payload, fanout, now_us) else {
         return;
     };
-    let targets = peers.iter().choose_multiple(&mut rand::rng(), round);
+    let targets = peers.iter().choose_multiple(&mut rand::rng(), fanout);
     for target in targets {
         if socket.send_to(&bytes, target).await.is_ok() {
             entry.counters.load_sent(bytes.len() + codec::UDP_HEAD_BYTES);
@@ -66,55 +67,56 @@
     }
 }
 
-/// The limits that are to be announced now.
-fn gather_limits(entry: &Entry) -> Vec<ServiceLimits> {
-    let mut left = LIMITS_MAX;
-    let mut told = Vec::new();
+/// Collects the upstream limits that are due to be announced, from all services.
+fn collect_limits(entry: &Entry) -> Vec<ServiceLimits> {
+    let mut remaining = LIMITS_PER_DATAGRAM_MAX;
+    let mut service_limits = Vec::new();
     for (position, service) in entry.routes().services.iter().enumerate() {
-        let limits = service.lock().take_limits(left, service.now_us());
-        left -= limits.len();
+        let limits = service.lock().take_limits(remaining, service.now_us());
+        remaining -= limits.len();
         if !limits.is_empty() {
-            told.push(ServiceLimits { position: position as u16, limits });
+            service_limits.push(ServiceLimits { position: position as u16, limits });
         }
     }
-    told
+    service_limits
 }
 
-/// What is worth telling; each round begins with another service, so that none keeps the others out.
-fn gather(entry: &Entry, observations_max: usize, rounds: u64) -> Vec<ServiceLoad> {
+/// Collects load observations to send. Each round starts at the next service, so that one service cannot
+/// starve the others.
+fn collect_observations(entry: &Entry, observations_max: usize, rounds: u64) -> Vec<ServiceLoad> {
     let routes = entry.routes();
     let count = routes.services.len();
     let first = rounds as usize % count.max(1);
-    let mut left = observations_max;
+    let mut remaining = observations_max;
     let mut services = Vec::new();
     for position in (first..count).chain(0..first) {
         let service = &routes.services[position];
-        let observations = service.lock().observations(left, service.now_us());
-        left -= observations.len();
+        let observations = service.lock().observations(remaining, service.now_us());
+        remaining -= observations.len();
         if !observations.is_empty() {
             services.push(ServiceLoad { position: position as u16, observations });
         }
-        if left == 0 {
+        if remaining == 0 {
             break;
         }
     }
     services
 }
 
-async fn receive(entry: Arc<Entry>, socket: Arc<UdpSocket>) {
+async fn receive_loop(entry: Arc<Entry>, socket: Arc<UdpSocket>) {
     let mut receiver = LoadReceiver::default();
-    let mut members_until_us = 0;
+    let mut next_members_refresh_us = 0;
     let mut buffer = [0; codec::DATAGRAM_LIMIT_BYTES];
     loop {
-        let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
+        let Ok((length, source)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
         let now_us = entry.clock.now_us();
-        if now_us >= members_until_us {
+        if now_us >= next_members_refresh_us {
             receiver.set_members(&entry.members().addresses());
-            members_until_us = now_us + MEMBERS_EVERY * TICK.as_micros() as u64;
+            next_members_refresh_us = now_us + MEMBERS_REFRESH_TICKS * TICK_INTERVAL.as_micros() as u64;
         }
-        match receiver.receive(from.ip(), &buffer[..length]) {
+        match receiver.receive(source.ip(), &buffer[..length]) {
             Ok(message) => apply(&entry, &message),
             Err(Rejected::Malformed) => entry.counters.load_dropped("malformed"),
             Err(Rejected::Stranger) => entry.counters.load_dropped("stranger"),
@@ -128,23 +130,23 @@
     if datagram.revision != routes.revision {
         return entry.counters.load_dropped("revision");
     }
-    for told in &message.limits {
-        let Some(service) = routes.services.get(usize::from(told.position)) else { continue };
+    for service_limits in &message.limits {
+        let Some(service) = routes.services.get(usize::from(service_limits.position)) else { continue };
         let (now_us, mut balancer) = (service.now_us(), service.lock());
-        told.limits.iter().for_each(|limit| balancer.observe_limit(limit, now_us));
+        service_limits.limits.iter().for_each(|limit| balancer.observe_limit(limit, now_us));
     }
-    for load in &datagram.services {
-        let Some(service) = routes.services.get(usize::from(load.position)) else {
+    for service_load in &datagram.services {
+        let Some(service) = routes.services.get(usize::from(service_load.position)) else {
             continue;
         };
         let waiting = {
             let now_us = service.now_us();
             let mut balancer = service.lock();
-            load.observations.iter().for_each(|observation| balancer.observe(observation, now_us));
+            service_load.observations.iter().for_each(|observation| balancer.observe(observation, now_us));
             balancer.waiting()
         };
         if waiting > 0 {
-            service.pump();
+            service.dispatch_waiting();
         }
     }
 }
--- a/crates/pointvane-entry/src/feed.rs
+++ b/crates/pointvane-entry/src/feed.rs
@@ -1,4 +1,4 @@
-//! What this VM's control tells the entry.
+//! Updates that the entry receives from the control process of its VM.
 
 use {
     crate::{entry::Entry, members::Members},
@@ -13,9 +13,9 @@
 
     fn update(&self, update: FeedUpdate) {
         match update {
-            FeedUpdate::Configuration(stored) => take_configuration(self, &stored),
+            FeedUpdate::Configuration(stored) => apply_configuration(self, &stored),
             FeedUpdate::Members(rows) => self.set_members(Members::new(rows, &self.settings.vm.name)),
-            FeedUpdate::VmList(list) => self.listed(&list),
+            FeedUpdate::VmList(list) => self.apply_vm_list(&list),
             FeedUpdate::Beat => {}
         }
     }
@@ -30,8 +30,9 @@
     }
 }
 
-/// Puts a configuration in force unless an equal or later one is; a restarted control may know less.
-fn take_configuration(entry: &Entry, stored: &Stored) {
+/// Applies a configuration if it is newer than the current one. A control process that has restarted may send
+/// an older one.
+fn apply_configuration(entry: &Entry, stored: &Stored) {
     let Ok(packed) = unpack(&stored.value) else { return };
     let (revision, index) = (stored.stamp.revision, stored.stamp.index);
     if !entry.advance(stored.stamp) {
--- a/crates/pointvane-entry/src/forward.rs
+++ b/crates/pointvane-entry/src/forward.rs
@@ -1,117 +1,130 @@
-//! Fourth stage: attempts at upstreams, until one gives the head of an answer.
+//! Fourth stage: attempts at upstreams, until one returns the head of a response.
 //!
-//! Truth about what ran: an attempt that did not connect, or whose request `hyper` gives back, sent nothing
-//! and is free to go elsewhere. Any other failure leaves the outcome unknown; then only repeatable work is
-//! tried again, within the retry budget.
+//! An attempt that failed to connect, or whose request `hyper` returned unsent, cannot have run, and the
+//! request may go to another upstream. After any other failure the outcome is unknown; then only idempotent
+//! requests without a body are retried, within the retry budget.
 
 use {
     crate::{
         body::UpstreamBody,
-        connections::Connections,
+        connections::ConnectionPool,
         counters::EntryCounters,
-        outgoing::Outgoing,
+        outgoing::OutgoingRequest,
         request_body::RequestBody,
         service::Attempt,
-        try_upstream::{Tried, try_hedged, try_once},
+        try_upstream::{AttemptOutcome, attempt_hedged, attempt_once},
     },
     hyper::Response,
     pointvane_core::ErrorKind,
     std::{mem, ops::ControlFlow},
 };
 
-/// Forwards a request until an upstream gives the head of an answer.
+/// Forwards a request until an upstream returns the head of a response.
 ///
 /// # Errors
-/// Why there is none, true as to whether anything ran.
+/// The reason for which there is no response. Its outcome takes all attempts into account: it says that the
+/// request did not run only if no attempt may have run.
 pub async fn forward(
-    outgoing: &Outgoing<'_>,
+    outgoing: &OutgoingRequest<'_>,
     body: RequestBody,
     first: Attempt,
-    connections: &Connections,
+    connections: &ConnectionPool,
     counters: &EntryCounters,
 ) -> Result<Response<UpstreamBody>, ErrorKind> {
     let attempts_max = outgoing.request.service.lock().service().retry.attempts_max;
-    let mut attempts = Attempts::new(outgoing, body);
+    let mut attempts = AttemptSequence::new(outgoing, body);
     let mut attempt = first;
     for number in 1..=attempts_max {
         let upstream = attempt.upstream();
-        let tried = attempts.send(attempt, connections, counters).await;
+        let outcome = attempts.send(attempt, connections, counters).await;
         let is_last = number == attempts_max;
-        let next = match attempts.after(tried, upstream, is_last)? {
-            Step::Break(response) => return Ok(response),
-            Step::Continue(next) => next,
+        let next = match attempts.next_step(outcome, upstream, is_last)? {
+            NextStep::Break(response) => return Ok(response),
+            NextStep::Continue(next) => next,
         };
         if is_last {
-            return Err(attempts.final_kind(next.failure));
+            return Err(attempts.final_error(next.failure));
         }
         counters.retried();
         attempt = next.attempt;
     }
-    Err(attempts.final_kind(ErrorKind::UpstreamUnreachable))
+    Err(attempts.final_error(ErrorKind::UpstreamUnreachable))
 }
 
-/// Another attempt that may be made.
+/// The next attempt, and the failure that it follows.
 struct NextAttempt {
     attempt: Attempt,
-    /// Why the one before failed.
+    /// Error of the previous attempt.
     failure: ErrorKind,
 }
 
-/// What follows an attempt.
-type Step = ControlFlow<Response<UpstreamBody>, NextAttempt>;
+/// What follows an attempt: the response for the caller, or another attempt.
+type NextStep = ControlFlow<Response<UpstreamBody>, NextAttempt>;
 
-/// The attempts of one request so far.
-struct Attempts<'o, 'r> {
-    outgoing: &'o Outgoing<'r>,
-    repeatable: bool,
-    /// The body, unless an attempt holds it or has sent it.
+/// State of the attempts of one request.
+struct AttemptSequence<'o, 'r> {
+    outgoing: &'o OutgoingRequest<'r>,
+    retryable: bool,
+    /// The request body, unless an attempt has taken it.
     body: RequestBody,
-    /// Whether an attempt that failed may have run.
-    ran: bool,
+    /// Whether a failed attempt may have run at its upstream.
+    may_have_run: bool,
 }
 
-impl<'o, 'r> Attempts<'o, 'r> {
-    fn new(outgoing: &'o Outgoing<'r>, body: RequestBody) -> Self {
-        let repeatable = outgoing.request.repeatable && body.is_empty();
-        Self { outgoing, repeatable, body, ran: false }
+impl<'o, 'r> AttemptSequence<'o, 'r> {
+    fn new(outgoing: &'o OutgoingRequest<'r>, body: RequestBody) -> Self {
+        let retryable = outgoing.request.idempotent && body.is_empty();
+        Self { outgoing, retryable, body, may_have_run: false }
     }
 
-    async fn send(&mut self, attempt: Attempt, connections: &Connections, counters: &EntryCounters) -> Tried {
-        if self.repeatable {
-            return try_hedged(self.outgoing, attempt, connections, counters).await;
+    async fn send(
+        &mut self,
+        attempt: Attempt,
+        connections: &ConnectionPool,
+        counters: &EntryCounters,
+    ) -> AttemptOutcome {
+        if self.retryable {
+            return attempt_hedged(self.outgoing, attempt, connections, counters).await;
         }
-        try_once(self.outgoing, mem::take(&mut self.body), attempt, connections, counters).await
+        attempt_once(self.outgoing, mem::take(&mut self.body), attempt, connections, counters).await
     }
 
-    /// What follows an attempt at `upstream`: the answer that the caller gets, or another attempt.
-    fn after(&mut self, tried: Tried, upstream: usize, is_last: bool) -> Result<Step, ErrorKind> {
+    /// Decides what follows an attempt at `upstream`: the response for the caller, or another attempt.
+    fn next_step(
+        &mut self,
+        outcome: AttemptOutcome,
+        upstream: usize,
+        is_last: bool,
+    ) -> Result<NextStep, ErrorKind> {
         let service = &self.outgoing.request.service;
-        let (next, failure) = match tried {
-            Tried::BadAnswer(response) if self.repeatable && !is_last => {
-                // The bad answer is dropped, and with it its connection.
+        let (next, failure) = match outcome {
+            AttemptOutcome::ErrorResponse(response) if self.retryable && !is_last => {
+                // Drops the error response and with it its connection.
                 let Some(next) = service.retry(upstream) else {
-                    return Ok(Step::Break(response));
+                    return Ok(NextStep::Break(response));
                 };
-                self.ran = true;
+                self.may_have_run = true;
                 (Some(next), ErrorKind::UpstreamBroken)
             }
-            Tried::Answer(response) | Tried::BadAnswer(response) => return Ok(Step::Break(response)),
-            Tried::Unsent(unsent, kind) => {
+            AttemptOutcome::Response(response) | AttemptOutcome::ErrorResponse(response) => {
+                return Ok(NextStep::Break(response));
+            }
+            AttemptOutcome::Unsent(unsent, kind) => {
                 self.body = unsent;
                 (service.redirect(upstream), kind)
             }
-            Tried::Broken(ErrorKind::UpstreamBroken) if self.repeatable => {
-                self.ran = true;
+            AttemptOutcome::Broken(ErrorKind::UpstreamBroken) if self.retryable => {
+                self.may_have_run = true;
                 (service.retry(upstream), ErrorKind::UpstreamBroken)
             }
-            Tried::Broken(kind) => return Err(self.final_kind(kind)),
+            AttemptOutcome::Broken(kind) => return Err(self.final_error(kind)),
         };
-        let attempt = next.ok_or(self.final_kind(failure))?;
-        Ok(Step::Continue(NextAttempt { attempt, failure }))
+        let attempt = next.ok_or(self.final_error(failure))?;
+        Ok(NextStep::Continue(NextAttempt { attempt, failure }))
     }
 
-    /// A later attempt that sent nothing does not make an earlier one unrun.
-    fn final_kind(&self, kind: ErrorKind) -> ErrorKind {
-        if self.ran { ErrorKind::UpstreamBroken } else { kind }
+    /// Error for the caller. If an earlier attempt may have run, an unsent later one must not hide that.
+    fn final_error(&self, kind: ErrorKind) -> ErrorKind {
+        if self.may_have_run { ErrorKind::UpstreamBroken } else { kind }
     }
 }
--- a/crates/pointvane-entry/src/kept_answer.rs
+++ b/crates/pointvane-entry/src/kept_answer.rs
@@ -1,7 +1,7 @@
-//! Answers of keyed work that are kept for repeats, and the requests that wait for them.
+//! Responses to requests with an idempotency key, stored for repeats of the request.
 
 use {
-    crate::body::AnswerBody,
+    crate::body::ResponseBody,
     bytes::Bytes,
     hyper::{HeaderMap, Response, StatusCode},
     pointvane_balance::Kept,
@@ -9,34 +9,34 @@
     tokio::sync::oneshot,
 };
 
-/// Largest answer that is kept for repeats, in bytes. Not measured: it bounds the memory of a key.
-pub const KEPT_ANSWER_LIMIT_BYTES: usize = 256 << 10;
+/// Largest response body stored for repeats, in bytes. Bounds the memory per key.
+pub const STORED_RESPONSE_LIMIT_BYTES: usize = 256 << 10;
 
-/// Where a request receives the end of its key's run.
-pub type Joiner = oneshot::Sender<Result<Response<AnswerBody>, ErrorKind>>;
+/// Channel on which a request receives the result of the run of its key.
+pub type ResponseSender = oneshot::Sender<Result<Response<ResponseBody>, ErrorKind>>;
 
-/// An answer kept for repeats.
+/// A response stored for repeats.
 #[derive(Debug)]
-pub struct KeptAnswer {
-    /// Its status.
+pub struct StoredResponse {
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers, without those of one connection only.
+    /// Headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-impl Kept for KeptAnswer {
+impl Kept for StoredResponse {
     fn size_bytes(&self) -> usize {
         let headers: usize = self.headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
         headers + self.body.len()
     }
 }
 
-impl KeptAnswer {
-    /// The answer for one more caller.
-    pub fn response(&self) -> Response<AnswerBody> {
-        let mut response = Response::new(AnswerBody::whole(self.body.clone()));
+impl StoredResponse {
+    /// Builds a response for another caller.
+    pub fn response(&self) -> Response<ResponseBody> {
+        let mut response = Response::new(ResponseBody::buffered(self.body.clone()));
         *response.status_mut() = self.status;
         *response.headers_mut() = self.headers.clone();
         response
--- a/crates/pointvane-entry/src/keyed.rs
+++ b/crates/pointvane-entry/src/keyed.rs
@@ -1,17 +1,18 @@
-//! The path of work that may not be repeated: its key decides whether, where and how often it runs.
+//! Requests with an idempotency key: the key decides whether and on which VM the request runs.
 //!
-//! The run is a task of its own, so that a caller who goes away cancels nothing that a repeat may join.
+//! Each run is a separate task, so that a caller that disconnects does not cancel a run that a repeat may
+//! join.
 
 use {
     crate::{
         admit::admit,
-        answer::{mark_answered, relay},
-        body::{AnswerBody, UpstreamBody},
-        classify::Classified,
+        answer::{mark_answered, proxy_entry_response},
+        body::{ResponseBody, UpstreamBody},
+        classify::ClassifiedRequest,
         entry::Entry,
         forward::forward,
-        kept_answer::{Joiner, KEPT_ANSWER_LIMIT_BYTES, KeptAnswer},
-        outgoing::Outgoing,
+        kept_answer::{ResponseSender, STORED_RESPONSE_LIMIT_BYTES, StoredResponse},
+        outgoing::OutgoingRequest,
         request_body::RequestBody,
     },
     bytes::{Bytes, BytesMut},
@@ -32,154 +33,162 @@
 /// Serves a request that carries a key.
 ///
 /// # Errors
-/// Why it is not answered.
+/// The reason for which there is no response.
 pub async fn serve_keyed(
     entry: &Arc<Entry>,
-    request: Classified,
+    request: ClassifiedRequest,
     head: Parts,
     body: RequestBody,
     key: IdempotencyKey,
-) -> Result<Response<AnswerBody>, ErrorKind> {
-    let (joiner, told) = oneshot::channel();
-    let decision = entry.keys().begin(&key, joiner, entry.clock.since_start_ms());
+) -> Result<Response<ResponseBody>, ErrorKind> {
+    let (sender, receiver) = oneshot::channel();
+    let decision = entry.keys().begin(&key, sender, entry.clock.since_start_ms());
     match decision {
-        KeyDecision::Run(joiner) => {
-            entry.keyed_running.fetch_add(1, Ordering::Relaxed);
-            tokio::spawn(run(Arc::clone(entry), request, head, body, key, joiner));
-            told.await.unwrap_or(Err(ErrorKind::UpstreamBroken))
+        KeyDecision::Run(sender) => {
+            entry.keyed_in_flight.fetch_add(1, Ordering::Relaxed);
+            tokio::spawn(run(Arc::clone(entry), request, head, body, key, sender));
+            receiver.await.unwrap_or(Err(ErrorKind::UpstreamBroken))
         }
-        KeyDecision::Joined => told.await.unwrap_or(Err(ErrorKind::UpstreamBroken)),
-        KeyDecision::Replay(answer) => Ok(answer.response()),
+        KeyDecision::Joined => receiver.await.unwrap_or(Err(ErrorKind::UpstreamBroken)),
+        KeyDecision::Replay(stored) => Ok(stored.response()),
         KeyDecision::Refuse(kind) => Err(kind),
         KeyDecision::PassOn { vm, incarnation } => {
-            pass_on(entry, &request, head, body, &vm, incarnation).await
+            forward_to_owner(entry, &request, head, body, &vm, incarnation).await
         }
     }
 }
 
-/// The kind with which to refuse a request that carries a key, true also of its copies.
-pub fn refuse_keyed(entry: &Entry, key: &IdempotencyKey, kind: ErrorKind) -> ErrorKind {
-    let (joiner, _) = oneshot::channel();
-    entry.keys().refuse(key, joiner, kind, entry.clock.since_start_ms())
+/// Refuses a request with a key for `kind` and fences the key, so that no later copy of the request runs.
+///
+/// Returns the error for the caller. It differs from `kind` if a copy may have run already or if another VM
+/// owns the key.
+pub fn reject_keyed(entry: &Entry, key: &IdempotencyKey, kind: ErrorKind) -> ErrorKind {
+    let (sender, _) = oneshot::channel();
+    entry.keys().refuse(key, sender, kind, entry.clock.since_start_ms())
 }
 
 async fn run(
     entry: Arc<Entry>,
-    request: Classified,
+    request: ClassifiedRequest,
     head: Parts,
     body: RequestBody,
     key: IdempotencyKey,
-    first: Joiner,
+    first_sender: ResponseSender,
 ) {
-    let outgoing = Outgoing::new(&request, head);
-    let answer = match admit(&request).await {
+    let outgoing = OutgoingRequest::new(&request, head);
+    let result = match admit(&request).await {
         Ok(attempt) => forward(&outgoing, body, attempt, &entry.connections, &entry.counters).await,
         Err(kind) => Err(kind),
     };
-    match answer {
-        Ok(response) => finish_answered(&entry, &key, first, response, outgoing.give_up_at(false)).await,
-        Err(kind) => finish_refused(&entry, &key, first, kind),
+    match result {
+        Ok(response) => {
+            finish_answered(&entry, &key, first_sender, response, outgoing.give_up_at(false)).await
+        }
+        Err(kind) => finish_refused(&entry, &key, first_sender, kind),
     }
-    entry.keyed_running.fetch_sub(1, Ordering::Relaxed);
+    entry.keyed_in_flight.fetch_sub(1, Ordering::Relaxed);
 }
 
-fn finish_refused(entry: &Entry, key: &IdempotencyKey, first: Joiner, kind: ErrorKind) {
+fn finish_refused(entry: &Entry, key: &IdempotencyKey, first_sender: ResponseSender, kind: ErrorKind) {
     let end = match kind.answer().outcome {
         Outcome::NotRun => KeyEnd::NotRun(kind),
         Outcome::Unknown | Outcome::Answered => KeyEnd::Ran(None),
     };
-    let joiners = entry.keys().finish(key, end);
-    for joiner in joiners.into_iter().chain([first]) {
-        // A caller that went away needs no answer.
-        let _ = joiner.send(Err(kind));
+    let waiters = entry.keys().finish(key, end);
+    for sender in waiters.into_iter().chain([first_sender]) {
+        // Sending fails if the caller has disconnected.
+        let _ = sender.send(Err(kind));
     }
 }
 
-/// Keeps an answer that is whole by `until` for repeats; a longer one streams to the first caller alone.
+/// Stores a response for repeats if its body fits the limit and is complete by `until`. Otherwise the
+/// response is streamed to the first caller only.
 async fn finish_answered(
     entry: &Entry,
     key: &IdempotencyKey,
-    first: Joiner,
+    first_sender: ResponseSender,
     response: Response<UpstreamBody>,
     until: Instant,
 ) {
     let (mut parts, mut body) = response.into_parts();
     mark_answered(&mut parts.headers);
-    let (kept, own) = match read_start(&mut body, until).await {
-        BodyStart::Whole(bytes) => {
-            let kept = KeptAnswer { status: parts.status, headers: parts.headers, body: bytes };
-            let own = kept.response();
-            (Some(Arc::new(kept)), Ok(own))
+    let (stored, first_result) = match read_prefix(&mut body, until).await {
+        BodyPrefix::Complete(bytes) => {
+            let stored = StoredResponse { status: parts.status, headers: parts.headers, body: bytes };
+            let first_result = stored.response();
+            (Some(Arc::new(stored)), Ok(first_result))
         }
-        BodyStart::Longer(bytes) => {
-            (None, Ok(Response::from_parts(parts, AnswerBody::Resumed(Some(bytes), body))))
+        BodyPrefix::Partial(bytes) => {
+            (None, Ok(Response::from_parts(parts, ResponseBody::Prefixed(Some(bytes), body))))
         }
-        BodyStart::Broken => (None, Err(ErrorKind::UpstreamBroken)),
+        BodyPrefix::Failed => (None, Err(ErrorKind::UpstreamBroken)),
     };
-    let joiners = entry.keys().finish(key, KeyEnd::Ran(kept.clone()));
-    for joiner in joiners {
-        let answer = kept.as_ref().map(|kept| kept.response()).ok_or(ErrorKind::AnswerNotKept);
-        let _ = joiner.send(answer);
+    let waiters = entry.keys().finish(key, KeyEnd::Ran(stored.clone()));
+    for sender in waiters {
+        let result = stored.as_ref().map(|stored| stored.response()).ok_or(ErrorKind::AnswerNotKept);
+        let _ = sender.send(result);
     }
-    let _ = first.send(own);
+    let _ = first_sender.send(first_result);
 }
 
-enum BodyStart {
-    Whole(Bytes),
-    Longer(Bytes),
-    Broken,
+enum BodyPrefix {
+    Complete(Bytes),
+    Partial(Bytes),
+    Failed,
 }
 
-/// Reads a body up to the bound for kept answers, or until a time.
-async fn read_start(body: &mut UpstreamBody, until: Instant) -> BodyStart {
+/// Reads a body until it ends, exceeds the limit for stored responses, or `until` is reached.
+async fn read_prefix(body: &mut UpstreamBody, until: Instant) -> BodyPrefix {
     let mut bytes = BytesMut::new();
-    while bytes.len() <= KEPT_ANSWER_LIMIT_BYTES {
+    while bytes.len() <= STORED_RESPONSE_LIMIT_BYTES {
         let frame = match timeout_at(until, body.frame()).await {
             Err(_) => break,
-            Ok(None) => return BodyStart::Whole(bytes.freeze()),
-            Ok(Some(Err(_))) => return BodyStart::Broken,
+            Ok(None) => return BodyPrefix::Complete(bytes.freeze()),
+            Ok(Some(Err(_))) => return BodyPrefix::Failed,
             Ok(Some(Ok(frame))) => frame,
         };
         if let Ok(data) = frame.into_data() {
             bytes.extend_from_slice(&data);
         }
     }
-    BodyStart::Longer(bytes.freeze())
+    BodyPrefix::Partial(bytes.freeze())
 }
 
-/// Passes a request on to the entry that owns its key; only the owner may run it.
-async fn pass_on(
+/// Forwards a request to the entry VM that owns its key; only the owner may run it.
+///
+/// A request that has already been forwarded is not forwarded again.
+async fn forward_to_owner(
     entry: &Arc<Entry>,
-    request: &Classified,
+    request: &ClassifiedRequest,
     mut head: Parts,
     body: RequestBody,
     vm: &Name,
     incarnation: Incarnation,
-) -> Result<Response<AnswerBody>, ErrorKind> {
+) -> Result<Response<ResponseBody>, ErrorKind> {
     if head.headers.contains_key(header::FORWARDED_BY) {
         return Err(ErrorKind::KeyOwnerGone);
     }
-    let owner = entry.members().entry(vm, incarnation).ok_or(ErrorKind::KeyOwnerGone)?;
-    let me = entry.settings.vm.name.as_str().parse().map_err(|_| ErrorKind::BadRequest)?;
-    head.headers.insert(header::FORWARDED_BY, me);
-    let outgoing = Outgoing::new(request, head);
+    let owner = entry.members().entry_address(vm, incarnation).ok_or(ErrorKind::KeyOwnerGone)?;
+    let own_name = entry.settings.vm.name.as_str().parse().map_err(|_| ErrorKind::BadRequest)?;
+    head.headers.insert(header::FORWARDED_BY, own_name);
+    let outgoing = OutgoingRequest::new(request, head);
     send_to_owner(entry, &outgoing, body, owner).await
 }
 
 async fn send_to_owner(
     entry: &Entry,
-    outgoing: &Outgoing<'_>,
+    outgoing: &OutgoingRequest<'_>,
     body: RequestBody,
     owner: SocketAddr,
-) -> Result<Response<AnswerBody>, ErrorKind> {
-    let connection = entry.connections.get(owner).await;
+) -> Result<Response<ResponseBody>, ErrorKind> {
+    let connection = entry.connections.acquire(owner).await;
     let mut connection = connection.map_err(|_| ErrorKind::KeyOwnerGone)?;
-    let streams = !body.is_empty();
-    let sent = connection.send(outgoing.build(body));
-    let answer = timeout_at(outgoing.give_up_at(streams), sent).await;
-    // The key may have run before this repeat came, so even an unsent one is unknown here.
-    let response = answer.map_err(|_| ErrorKind::UpstreamTimeout)?.map_err(|_| ErrorKind::KeyOwnerGone)?;
+    let streaming = !body.is_empty();
+    let pending = connection.send(outgoing.build(body));
+    let result = timeout_at(outgoing.give_up_at(streaming), pending).await;
+    // An earlier copy may have run at the owner, so the outcome is unknown even if this request was not sent.
+    let response = result.map_err(|_| ErrorKind::UpstreamTimeout)?.map_err(|_| ErrorKind::KeyOwnerGone)?;
     let response = response
         .map(|body| UpstreamBody::new(body, connection, None, pointvane_balance::AttemptEnd::Answered));
-    Ok(relay(response))
+    Ok(proxy_entry_response(response))
 }
--- a/crates/pointvane-entry/src/lib.rs
+++ b/crates/pointvane-entry/src/lib.rs
@@ -1,8 +1,9 @@
-//! The data path on each entry VM, as pipes and filters:
-//! accept, classify, (remember the key,) admit, choose, forward, answer.
+//! The data path on each entry VM: an HTTP/1.1 reverse proxy in stages.
 //!
-//! Decisions are `pointvane-balance`'s; this crate is the shell around them. `hyper` serves and calls: the
-//! reasons against `rouille` and `ureq` on this path stand in docs/DESIGN.md with their figures.
+//! A request is accepted, classified, looked up by its idempotency key if it has one, admitted, assigned to
+//! an upstream, forwarded and answered. `pointvane-balance` takes the decisions without I/O; this crate does
+//! the I/O around it. Server and client are `hyper`; docs/DESIGN.md gives the reasons and figures against
+//! `rouille` and `ureq` on this path.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/pointvane-entry/src/main.rs
+++ b/crates/pointvane-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `pointvane-entry`.
+//! Command-line entry point of `pointvane-entry`.
 #![forbid(unsafe_code)]
 
 use {
--- a/crates/pointvane-entry/src/maintain.rs
+++ b/crates/pointvane-entry/src/maintain.rs
@@ -1,9 +1,9 @@
-//! Upkeep of the services: waiting requests, probes, changes worth an event.
+//! Periodic maintenance of the services: waiting requests, load probes, and events for changes of state.
 
 use {
     crate::{
-        entry::Entry, head_notices::HeadNotices, notice_recorder::NoticeRecorder, request_body::RequestBody,
-        service::ServiceHandle,
+        entry::Entry, head_notices::UpstreamNotices, notice_recorder::NoticeRecorder,
+        request_body::RequestBody, service::ServiceHandle,
     },
     http_body_util::BodyExt,
     hyper::{Request, header::HOST},
@@ -12,23 +12,23 @@
     tokio::time::{interval, timeout},
 };
 
-/// Time between two checks for probes that are due. Not measured.
-const TICK: Duration = Duration::from_millis(5);
-/// Longest time for a probe. Not measured.
+/// Interval at which waiting requests and due probes are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Ticks between two checks for changes of state that the time line tells.
-const TRANSITIONS_EVERY: u64 = 20;
+/// Ticks between two checks for changes of state that are logged as events.
+const TRANSITION_CHECK_TICKS: u64 = 20;
 
-/// Looks after waiting requests, probes that are due, and the time line, for as long as the process lives.
+/// Dispatches waiting requests, sends due probes and logs changes of state, until the process exits.
 pub async fn maintain(entry: Arc<Entry>) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     for tick in 0_u64.. {
         ticks.tick().await;
         for service in &entry.routes().services {
             maintain_service(&entry, service);
         }
-        if tick.is_multiple_of(TRANSITIONS_EVERY) {
-            entry.note_transitions();
+        if tick.is_multiple_of(TRANSITION_CHECK_TICKS) {
+            entry.log_transitions();
         }
     }
 }
@@ -48,25 +48,25 @@
         tokio::spawn(async move {
             let notices = timeout(PROBE_TIMEOUT, probe(&entry, address, &path)).await;
             if let Ok(Some(notices)) = notices {
-                NoticeRecorder { service: Arc::clone(&service), upstream: index }.heed(notices);
-                service.pump();
+                NoticeRecorder { service: Arc::clone(&service), upstream: index }.record(notices);
+                service.dispatch_waiting();
             }
         });
     }
     if service.lock().waiting() > 0 {
-        service.pump();
+        service.dispatch_waiting();
     }
 }
 
-/// What one upstream says of itself; none if no whole answer came.
-async fn probe(entry: &Entry, address: SocketAddr, path: &Name) -> Option<HeadNotices> {
-    let mut connection = entry.connections.get(address).await.ok()?;
+/// Requests the probe path of an upstream. Returns `None` unless a complete response was received.
+async fn probe(entry: &Entry, address: SocketAddr, path: &Name) -> Option<UpstreamNotices> {
+    let mut connection = entry.connections.acquire(address).await.ok()?;
     let mut request = Request::new(RequestBody::Empty);
     *request.uri_mut() = path.as_str().parse().ok()?;
     request.headers_mut().insert(HOST, address.to_string().parse().ok()?);
     let response = connection.send(request).await.ok()?;
-    let notices = HeadNotices::of(&response);
+    let notices = UpstreamNotices::from_response(&response);
     response.into_body().collect().await.ok()?;
-    connection.keep();
+    connection.release();
     Some(notices)
 }
--- a/crates/pointvane-entry/src/members.rs
+++ b/crates/pointvane-entry/src/members.rs
@@ -1,4 +1,4 @@
-//! The other entry VMs, as this VM's control tells them.
+//! The other VMs, as listed by the control process of this VM.
 
 use {
     pointvane_core::{Incarnation, LimitPlace, Name, VmState},
@@ -6,54 +6,57 @@
     std::net::{IpAddr, SocketAddr},
 };
 
-/// The other entry VMs.
+/// Members of the fleet other than this VM.
 #[derive(Debug, Default)]
 pub struct Members {
     rows: Vec<MemberRow>,
-    /// This VM; none until control has told the members.
-    me: Option<Name>,
+    /// Name of this VM; `None` until the first list has been received.
+    own_name: Option<Name>,
 }
 
 impl Members {
-    /// The members other than this VM.
-    pub fn new(mut rows: Vec<MemberRow>, me: &Name) -> Self {
-        rows.retain(|row| row.identity.name != *me);
-        Self { rows, me: Some(me.clone()) }
+    /// Creates the list from all rows; the row of this VM is left out.
+    pub fn new(mut rows: Vec<MemberRow>, own_name: &Name) -> Self {
+        rows.retain(|row| row.identity.name != *own_name);
+        Self { rows, own_name: Some(own_name.clone()) }
     }
 
-    /// This entry VM's place among those that may use an upstream; none until control has told the members.
+    /// This entry VM's position among those that may use an upstream; `None` until the first list has been
+    /// received.
     ///
-    /// All work out the same order by rendezvous hashing. VMs that leave as planned are out of it; dead ones may live behind a cut, and count as not reached.
+    /// All VMs compute the same order by rendezvous hashing. VMs that leave as planned are excluded. VMs that
+    /// are believed dead may be running behind a network partition, and count as members that are not
+    /// reached.
     pub fn limit_place(&self, upstream: &Name) -> Option<LimitPlace> {
-        let own = rank(upstream.as_str(), self.me.as_ref()?);
-        let has_left =
+        let own_rank = rank(upstream.as_str(), self.own_name.as_ref()?);
+        let is_leaving =
             |row: &&MemberRow| row.state == VmState::Leaving || row.entry.is_some_and(|entry| entry.leaving);
-        let staying = || self.rows.iter().filter(|row| !has_left(row));
-        let reached = || staying().filter(|row| row.state != VmState::Dead);
-        let before = reached().filter(|row| rank(upstream.as_str(), &row.identity.name) > own).count();
-        let (processes, whole) = (reached().count() + 1, staying().count() + 1);
-        Some(LimitPlace { before, processes, reached_share: processes as f64 / whole as f64 })
+        let staying = || self.rows.iter().filter(|row| !is_leaving(row));
+        let reachable = || staying().filter(|row| row.state != VmState::Dead);
+        let before = reachable().filter(|row| rank(upstream.as_str(), &row.identity.name) > own_rank).count();
+        let (processes, total) = (reachable().count() + 1, staying().count() + 1);
+        Some(LimitPlace { before, processes, reached_share: processes as f64 / total as f64 })
     }
 
-    /// Where load is told: entries that are believed to run.
+    /// Addresses to which load is sent: entries that are believed to be running.
     pub fn load_peers(&self) -> impl Iterator<Item = SocketAddr> {
         let running = self.rows.iter().filter(|row| row.state != VmState::Dead && row.entry.is_some());
-        running.map(entry_address)
+        running.map(row_address)
     }
 
-    /// Whose load is heard.
+    /// Addresses from which load is accepted.
     pub fn addresses(&self) -> Vec<IpAddr> {
         self.rows.iter().map(|row| row.identity.address).collect()
     }
 
-    /// Where that life of an entry serves; none if it is known to be over.
-    pub fn entry(&self, vm: &Name, incarnation: Incarnation) -> Option<SocketAddr> {
+    /// Address of an incarnation of an entry; `None` if it is known to have ended or its VM is believed dead.
+    pub fn entry_address(&self, vm: &Name, incarnation: Incarnation) -> Option<SocketAddr> {
         let row = self.rows.iter().find(|row| row.identity.name == *vm)?;
-        let over = row.entry.is_some_and(|entry| entry.incarnation != incarnation);
-        (row.state != VmState::Dead && !over).then(|| entry_address(row))
+        let ended = row.entry.is_some_and(|entry| entry.incarnation != incarnation);
+        (row.state != VmState::Dead && !ended).then(|| row_address(row))
     }
 }
 
-fn entry_address(row: &MemberRow) -> SocketAddr {
+fn row_address(row: &MemberRow) -> SocketAddr {
     SocketAddr::new(row.identity.address, row.entry_port)
 }
--- a/crates/pointvane-entry/src/notice_recorder.rs
+++ b/crates/pointvane-entry/src/notice_recorder.rs
@@ -1,14 +1,14 @@
-//! Records what upstreams say of themselves in answers that end no attempt: to probes, and to attempts that were abandoned.
+//! Records the notices of responses that do not end an attempt: those to probes and to abandoned attempts.
 
 use {
     crate::{
-        head_notices::HeadNotices,
+        head_notices::UpstreamNotices,
         service::{Attempt, ServiceHandle},
     },
     std::sync::Arc,
 };
 
-/// An upstream of a service, of which notices are recorded.
+/// Records notices of one upstream of a service.
 #[derive(Clone, Debug)]
 pub struct NoticeRecorder {
     /// The service.
@@ -24,8 +24,8 @@
 }
 
 impl NoticeRecorder {
-    /// Records the notices of one answer.
-    pub fn heed(&self, notices: HeadNotices) {
+    /// Records the notices of one response.
+    pub fn record(&self, notices: UpstreamNotices) {
         let now_us = self.service.now_us();
         let mut balancer = self.service.lock();
         if let Some(report) = notices.report {
--- a/crates/pointvane-entry/src/outgoing.rs
+++ b/crates/pointvane-entry/src/outgoing.rs
@@ -1,52 +1,53 @@
-//! A request as it goes to upstreams.
+//! A request as sent to upstreams.
 
 use {
-    crate::{answer::strip_hop_by_hop, classify::Classified, request_body::RequestBody},
+    crate::{answer::strip_hop_by_hop, classify::ClassifiedRequest, request_body::RequestBody},
     hyper::{Request, header::HeaderValue, http::request::Parts},
     pointvane_core::{US_PER_MS, header},
     std::time::Duration,
     tokio::time::Instant,
 };
 
-/// Longest time for a body that streams under no deadline: a day. Not measured: only a bound.
+/// Timeout for a streamed request body without an explicit deadline: one day, as an upper bound only.
 const STREAM_TIME_MAX: Duration = Duration::from_secs(86_400);
 
-/// A request on its way, with what is needed to send it more than once.
+/// A request to be sent, with what is needed to send it more than once.
 #[derive(Debug)]
-pub struct Outgoing<'r> {
-    /// What it is.
-    pub request: &'r Classified,
-    /// Its head, cleared of what concerns the caller's connection.
+pub struct OutgoingRequest<'r> {
+    /// Description of the request.
+    pub request: &'r ClassifiedRequest,
+    /// Head without hop-by-hop headers.
     pub head: Parts,
 }
 
-impl<'r> Outgoing<'r> {
-    /// A request whose head is cleared for the next hop.
-    pub fn new(request: &'r Classified, mut head: Parts) -> Self {
+impl<'r> OutgoingRequest<'r> {
+    /// Creates a request and removes hop-by-hop headers from its head.
+    pub fn new(request: &'r ClassifiedRequest, mut head: Parts) -> Self {
         strip_hop_by_hop(&mut head.headers);
         Self { request, head }
     }
 
-    /// The request as sent now, with the time left as its deadline.
+    /// Builds the request for one attempt. Its deadline header holds the time remaining, in milliseconds.
     pub fn build(&self, body: RequestBody) -> Request<RequestBody> {
         let mut request = Request::new(body);
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = self.head.uri.clone();
         *request.headers_mut() = self.head.headers.clone();
-        let left_ms = self.left_us() / US_PER_MS;
-        request.headers_mut().insert(header::DEADLINE_MS, HeaderValue::from(left_ms));
+        let remaining_ms = self.remaining_us() / US_PER_MS;
+        request.headers_mut().insert(header::DEADLINE_MS, HeaderValue::from(remaining_ms));
         request
     }
 
-    /// Time left until the deadline.
-    pub fn left_us(&self) -> u64 {
+    /// Time remaining until the deadline, in microseconds.
+    pub fn remaining_us(&self) -> u64 {
         self.request.deadline_us.saturating_sub(self.request.service.now_us())
     }
 
-    /// The deadline holds for an answer's head; a body that streams may take longer unless the caller said so.
-    pub fn give_up_at(&self, streams: bool) -> Instant {
-        let far = STREAM_TIME_MAX;
-        let left = Duration::from_micros(self.left_us());
-        Instant::now() + if streams && !self.request.deadline_named { far } else { left }
+    /// Time at which waiting for the response head ends. This is the deadline, but a streamed request body
+    /// may take longer unless the caller has set the deadline.
+    pub fn give_up_at(&self, streaming: bool) -> Instant {
+        let stream_limit = STREAM_TIME_MAX;
+        let remaining = Duration::from_micros(self.remaining_us());
+        Instant::now() + if streaming && !self.request.explicit_deadline { stream_limit } else { remaining }
     }
 }
--- a/crates/pointvane-entry/src/request_body.rs
+++ b/crates/pointvane-entry/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests that stream through the entry VM.
+//! Bodies of requests, streamed through the entry VM.
 
 use {
     bytes::Bytes,
@@ -9,23 +9,23 @@
     },
 };
 
-/// The body of a request on its way to an upstream.
+/// Body of a request to an upstream.
 #[derive(Debug, Default)]
 pub enum RequestBody {
-    /// None.
+    /// No body.
     #[default]
     Empty,
-    /// The caller's, streamed.
+    /// Streamed from the caller.
     Streamed(Incoming),
 }
 
 impl RequestBody {
-    /// The caller's body, or none if it is known to be empty.
+    /// Creates a body from the caller's; [`Self::Empty`] if that is known to be empty.
     pub fn new(incoming: Incoming) -> Self {
         if incoming.is_end_stream() { Self::Empty } else { Self::Streamed(incoming) }
     }
 
-    /// Whether there is none, so that the request can be sent again.
+    /// Whether there is no body, so that the request can be sent again.
     pub fn is_empty(&self) -> bool {
         matches!(self, Self::Empty)
     }
--- a/crates/pointvane-entry/src/routes.rs
+++ b/crates/pointvane-entry/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which requests belong to which service.
+//! Routing of requests to services by host and path prefix.
 
 use {
     crate::service::ServiceHandle,
@@ -7,61 +7,62 @@
     std::sync::Arc,
 };
 
-/// One way to a service.
+/// Route to a service; without a host it matches all hosts.
 #[derive(Debug)]
-struct Way {
+struct Route {
     host: Option<Name>,
     path_prefix: Name,
     service: Arc<ServiceHandle>,
 }
 
-/// All ways, the most particular first.
+/// All routes, the most specific first: those with a host before those without, then by length of the prefix.
 #[derive(Debug, Default)]
 pub struct Routes {
-    ways: Vec<Way>,
-    /// Revision of the configuration.
+    routes: Vec<Route>,
+    /// Revision of the configuration; 0 without one.
     pub revision: u64,
     /// The services in the order of the configuration.
     pub services: Vec<Arc<ServiceHandle>>,
-    /// How long callers keep locate's answer, in milliseconds.
+    /// Time for which callers cache an answer of the locate service, in milliseconds.
     pub locate_keep_ms: u64,
-    /// Bytes of control traffic that this VM may send each second.
+    /// Limit on the control traffic sent by this VM, in bytes per second.
     pub control_bytes_per_s: u32,
 }
 
 impl Routes {
-    /// The routes of a configuration, whose services stand in the same order as `services`.
+    /// Builds the routes of a configuration, whose services are in the same order as `services`.
     pub fn new(configuration: &Configuration, services: Vec<Arc<ServiceHandle>>) -> Self {
-        let mut ways = Vec::new();
+        let mut routes = Vec::new();
         for (service, handle) in configuration.services.iter().zip(&services) {
-            let way = |host| Way {
+            let route = |host| Route {
                 host,
                 path_prefix: service.route.path_prefix.clone(),
                 service: Arc::clone(handle),
             };
             if service.route.hosts.is_empty() {
-                ways.push(way(None));
+                routes.push(route(None));
             }
-            ways.extend(service.route.hosts.iter().map(|host| way(Some(host.clone()))));
+            routes.extend(service.route.hosts.iter().map(|host| route(Some(host.clone()))));
         }
-        ways.sort_by_key(|way| std::cmp::Reverse((way.host.is_some(), way.path_prefix.as_str().len())));
+        routes
+            .sort_by_key(|route| std::cmp::Reverse((route.host.is_some(), route.path_prefix.as_str().len())));
         let FleetLimits { locate_keep_ms, control_bytes_per_s, .. } = configuration.limits;
-        Self { ways, revision: configuration.revision, services, locate_keep_ms, control_bytes_per_s }
+        Self { routes, revision: configuration.revision, services, locate_keep_ms, control_bytes_per_s }
     }
 
-    /// The service of a request.
+    /// Finds the service of a request. A port in `host` is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<ServiceHandle>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let fits = |way: &&Way| {
-            let host_fits = way.host.as_ref().is_none_or(|wanted| wanted.as_str() == host);
-            host_fits && below(path, way.path_prefix.as_str())
+        let matches = |route: &&Route| {
+            let host_matches = route.host.as_ref().is_none_or(|expected| expected.as_str() == host);
+            host_matches && path_has_prefix(path, route.path_prefix.as_str())
         };
-        self.ways.iter().find(fits).map(|way| &way.service)
+        self.routes.iter().find(matches).map(|route| &route.service)
     }
 }
 
-/// Whether a path is a prefix's or below it, at a `/`.
-fn below(path: &str, prefix: &str) -> bool {
+/// Whether `path` starts with `prefix` at the boundary of a path segment.
+fn path_has_prefix(path: &str, prefix: &str) -> bool {
     let rest = path.strip_prefix(prefix.trim_end_matches('/'));
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with(['/', '?']))
 }
--- a/crates/pointvane-entry/src/service.rs
+++ b/crates/pointvane-entry/src/service.rs
@@ -1,4 +1,4 @@
-//! One service at this entry VM: its decisions behind a lock, and the handles of its requests.
+//! One service at this entry VM: its balancer behind a lock, and the attempts of its requests.
 
 use {
     pointvane_balance::{
@@ -17,7 +17,7 @@
     tokio::sync::oneshot,
 };
 
-/// Where a waiting request hears that it may start, or why not.
+/// Channel on which a waiting request receives its attempt, or the reason for its refusal.
 pub type Waiter = oneshot::Sender<Result<Attempt, ErrorKind>>;
 
 /// One service at this entry VM.
@@ -26,12 +26,12 @@
     /// The service's name.
     pub name: Name,
     clock: MonotonicClock,
-    /// Requests refused for overload.
-    overloaded: AtomicU64,
+    /// Number of requests refused for overload.
+    overload_refusals: AtomicU64,
     balancer: Mutex<ServiceBalancer<Waiter>>,
 }
 
-/// One attempt at an upstream; it counts as cancelled if dropped without [`Self::end`].
+/// One attempt at an upstream; ends as cancelled if dropped without [`Self::end`].
 #[derive(Debug)]
 pub struct Attempt {
     service: Arc<ServiceHandle>,
@@ -43,108 +43,112 @@
 }
 
 impl ServiceHandle {
-    /// A service that this entry VM begins to serve.
+    /// Creates a service with no known state of its upstreams. `seed` seeds its random choices.
     pub fn new(service: &Service, limits: &FleetLimits, seed: u64, clock: MonotonicClock) -> Self {
         let balancer = ServiceBalancer::new(service, limits, seed, clock.now_us());
-        let overloaded = AtomicU64::new(0);
-        Self { name: service.name.clone(), clock, overloaded, balancer: Mutex::new(balancer) }
+        let overload_refusals = AtomicU64::new(0);
+        Self { name: service.name.clone(), clock, overload_refusals, balancer: Mutex::new(balancer) }
     }
 
-    /// The decisions. Never hold this across an await or while an [`Attempt`] is dropped.
+    /// Locks the balancer. Never hold the guard across an await or while an [`Attempt`] is dropped: dropping
+    /// it takes the same lock.
     pub fn lock(&self) -> MutexGuard<'_, ServiceBalancer<Waiter>> {
         self.balancer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The time.
+    /// Time of the service's clock, in microseconds.
     pub fn now_us(&self) -> u64 {
         self.clock.now_us()
     }
 
-    /// Asks for a start: at once, later through the receiver, or never.
+    /// Admits a request: it starts at once or waits in the queue.
     ///
     /// # Errors
-    /// Why it is refused.
-    pub fn arrive(self: &Arc<Self>, arrival: Arrival) -> Result<Start, ErrorKind> {
+    /// The reason for which it is refused.
+    pub fn arrive(self: &Arc<Self>, arrival: Arrival) -> Result<Admission, ErrorKind> {
         let (waiter, receiver) = oneshot::channel();
         let now_us = self.now_us();
         let decision = self.lock().arrive(arrival, waiter, now_us);
         match decision {
-            Decision::Start { upstream, .. } => Ok(Start::Now(self.attempt(upstream))),
-            Decision::Wait => Ok(Start::Later(receiver)),
+            Decision::Start { upstream, .. } => Ok(Admission::Immediate(self.new_attempt(upstream))),
+            Decision::Wait => Ok(Admission::Queued(receiver)),
             Decision::Refuse { kind, .. } => {
-                self.overloaded.fetch_add(u64::from(kind == ErrorKind::Overloaded), Ordering::Relaxed);
+                self.overload_refusals.fetch_add(u64::from(kind == ErrorKind::Overloaded), Ordering::Relaxed);
                 Err(kind)
             }
         }
     }
 
-    /// Starts or refuses what can be started or must be refused.
-    pub fn pump(self: &Arc<Self>) {
+    /// Starts waiting requests for which there is capacity, and refuses those that can no longer be served.
+    pub fn dispatch_waiting(self: &Arc<Self>) {
         loop {
             let now_us = self.now_us();
             let dispatch = self.lock().dispatch(now_us, oneshot::Sender::is_closed);
-            // A waiter that went away meanwhile gives the attempt back, which then ends as cancelled.
+            // If the waiter has gone away, sending returns the attempt, which ends as cancelled when dropped.
             match dispatch {
                 None => return,
                 Some(Dispatch::Start { upstream, waiter }) => {
-                    drop(waiter.send(Ok(self.attempt(upstream))));
+                    drop(waiter.send(Ok(self.new_attempt(upstream))));
                 }
                 Some(Dispatch::Refuse { kind, waiter }) => drop(waiter.send(Err(kind))),
             }
         }
     }
 
-    /// Another upstream after a failed attempt of repeatable work.
+    /// Starts an attempt at another upstream after an idempotent request failed at `failed`; `None` if the
+    /// retry budget is used up or no upstream is available.
     pub fn retry(self: &Arc<Self>, failed: usize) -> Option<Attempt> {
         let upstream = self.lock().retry(failed, self.now_us())?;
-        Some(self.attempt(upstream))
+        Some(self.new_attempt(upstream))
     }
 
-    /// Another upstream after one to which nothing was sent.
+    /// Starts an attempt at another upstream after nothing could be sent to `unreachable`, at no cost to the
+    /// retry budget; `None` if no upstream is available.
     pub fn redirect(self: &Arc<Self>, unreachable: usize) -> Option<Attempt> {
         let upstream = self.lock().redirect(unreachable, self.now_us())?;
-        Some(self.attempt(upstream))
+        Some(self.new_attempt(upstream))
     }
 
-    /// A second upstream for a slow attempt of repeatable work.
+    /// Starts a second attempt beside a slow one of an idempotent request; `None` unless there is spare
+    /// capacity and no request is waiting.
     pub fn hedge(self: &Arc<Self>, first: usize) -> Option<Attempt> {
         let upstream = self.lock().hedge(first, self.now_us())?;
-        Some(self.attempt(upstream))
+        Some(self.new_attempt(upstream))
     }
 
-    /// Seconds after which a caller should retry whose request was refused for `kind`.
+    /// `Retry-After` in seconds for a request that was refused with `kind`.
     pub fn retry_after_s(&self, kind: ErrorKind) -> u64 {
         self.lock().retry_after_s(kind, self.now_us())
     }
 
-    /// Requests refused for overload so far.
-    pub fn overloaded(&self) -> u64 {
-        self.overloaded.load(Ordering::Relaxed)
+    /// Number of requests refused for overload so far.
+    pub fn overload_refusals(&self) -> u64 {
+        self.overload_refusals.load(Ordering::Relaxed)
     }
 
-    /// What is believed of the upstreams.
+    /// Known state of the upstreams.
     pub fn summaries(&self) -> Vec<UpstreamSummary> {
         self.lock().summaries(self.now_us())
     }
 
-    fn attempt(self: &Arc<Self>, upstream: usize) -> Attempt {
+    fn new_attempt(self: &Arc<Self>, upstream: usize) -> Attempt {
         let address = self.lock().upstream(upstream).address;
         let started_us = self.now_us();
         Attempt { service: Arc::clone(self), upstream, address, started_us, report: None, ended: false }
     }
 }
 
-/// When a request may start.
+/// Result of the admission of a request.
 #[derive(Debug)]
-pub enum Start {
-    /// Now.
-    Now(Attempt),
-    /// When this is told.
-    Later(oneshot::Receiver<Result<Attempt, ErrorKind>>),
+pub enum Admission {
+    /// Starts at once.
+    Immediate(Attempt),
+    /// Waits in the queue for its attempt or its refusal.
+    Queued(oneshot::Receiver<Result<Attempt, ErrorKind>>),
 }
 
 impl Attempt {
-    /// Where the upstream serves.
+    /// Address of the upstream.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -155,37 +159,38 @@
     }
 
     /// Time since the attempt started, in seconds.
-    pub fn age_s(&self) -> f64 {
+    pub fn elapsed_s(&self) -> f64 {
         self.service.now_us().saturating_sub(self.started_us) as f64 / US_PER_S as f64
     }
 
-    /// Whether the upstream has asked for no requests since the attempt was started.
-    pub fn is_unwanted(&self) -> bool {
+    /// Whether the upstream has asked for a back-off that is in force now, perhaps after this attempt
+    /// started.
+    pub fn is_upstream_backing_off(&self) -> bool {
         self.service.lock().wants_none(self.upstream, self.service.now_us())
     }
 
-    /// Takes the word of the upstream that it wants no requests for a time.
+    /// Records that the upstream asks for no requests for `for_us` microseconds.
     pub fn back_off(&self, for_us: u64) {
         self.service.lock().back_off(self.upstream, for_us, self.service.now_us());
     }
 
-    /// Records what the answer's head says of the upstream's limit.
+    /// Records the upstream's request limit from the head of the response.
     pub fn record_limit(&self, notice: LimitNotice) {
         let now_us = self.service.now_us();
         self.service.lock().record_limit(self.upstream, notice, Some(self.started_us), now_us);
     }
 
-    /// Its service.
+    /// Service of the attempt.
     pub fn service(&self) -> &Arc<ServiceHandle> {
         &self.service
     }
 
-    /// Takes the load report that came with the answer's head.
-    pub fn reported(&mut self, report: Option<LoadReport>) {
+    /// Sets the load report from the head of the response.
+    pub fn set_report(&mut self, report: Option<LoadReport>) {
         self.report = report;
     }
 
-    /// Ends the attempt.
+    /// Ends the attempt and dispatches waiting requests.
     pub fn end(mut self, end: AttemptEnd) {
         self.finish(end);
     }
@@ -201,7 +206,7 @@
             balancer.waiting()
         };
         if waiting > 0 {
-            self.service.pump();
+            self.service.dispatch_waiting();
         }
     }
 }
--- a/crates/pointvane-entry/src/status.rs
+++ b/crates/pointvane-entry/src/status.rs
@@ -1,4 +1,4 @@
-//! The answer of the entry's operator port to `/status`.
+//! Response of the entry's operator port to `/status`.
 
 use {
     crate::{entry::Entry, service::ServiceHandle},
@@ -8,31 +8,31 @@
     serde::Serialize,
 };
 
-/// What the operator port shows.
+/// Status of the entry process.
 #[derive(Debug, Serialize)]
 pub struct EntryStatus {
-    /// This life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Revision in force here; 0 for none.
+    /// Revision of the current configuration; 0 without one.
     pub revision: u64,
-    /// Whether it is stopping.
+    /// Whether a stop has been requested.
     pub stopping: bool,
-    /// Keys remembered.
+    /// Number of idempotency keys in the table.
     pub keys: usize,
-    /// The services.
+    /// The services of the current configuration.
     pub services: Vec<ServiceStatus>,
 }
 
-/// What the operator port shows of a service.
+/// Status of a service.
 #[derive(Debug, Serialize)]
 pub struct ServiceStatus {
     /// The service's name.
     pub name: Name,
-    /// This entry's requests in flight.
+    /// Requests in flight from this entry.
     pub in_flight: u32,
-    /// Requests that wait here.
+    /// Requests waiting at this entry.
     pub waiting: usize,
-    /// What is believed of its upstreams.
+    /// Known state of its upstreams.
     pub upstreams: Vec<UpstreamSummary>,
 }
 
--- a/crates/pointvane-entry/src/stop.rs
+++ b/crates/pointvane-entry/src/stop.rs
@@ -1,7 +1,7 @@
-//! The life of the process: start, planned stop, end.
+//! Lifecycle of the process: start, graceful stop, exit.
 
 use {
-    crate::{counters::EntryCounters, entry::Entry, exchange::exchange, maintain::maintain},
+    crate::{counters::EntryCounters, entry::Entry, exchange::exchange_load, maintain::maintain},
     eyre::{Result, WrapErr},
     pointvane_config::{EntrySettings, Settings},
     pointvane_feed::spawn_feed,
@@ -21,23 +21,23 @@
     },
 };
 
-/// Time for a planned stop to be known to every locate. Not measured.
-const STOP_SPREADS: Duration = Duration::from_millis(2_000);
-/// Time between two checks for requests in flight.
+/// Time for a planned stop to become known to all locate processes.
+const STOP_PROPAGATION_TIME: Duration = Duration::from_millis(2_000);
+/// Interval between two checks for requests in flight.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for the last answers to leave the kernel.
-const FLUSH: Duration = Duration::from_millis(50);
+/// Time for the kernel to send the last responses.
+const FLUSH_TIME: Duration = Duration::from_millis(50);
 
-/// Runs the entry until it is stopped.
+/// Runs the entry until it receives SIGTERM or SIGINT and has stopped.
 ///
 /// # Errors
-/// When it cannot start.
+/// If the process cannot start, such as when a port cannot be bound.
 pub fn run(settings: Settings, log: slog::Logger) -> Result<()> {
     let threads = settings.entry.worker_threads;
     let runtime = Builder::new_multi_thread().worker_threads(threads).enable_all().build()?;
-    let ended = runtime.block_on(serve(settings, log));
+    let result = runtime.block_on(serve(settings, log));
     runtime.shutdown_background();
-    ended
+    result
 }
 
 async fn serve(settings: Settings, log: slog::Logger) -> Result<()> {
@@ -47,16 +47,19 @@
     let entry = Arc::new(Entry::new(settings, Arc::clone(&events), counters));
     let vm = &entry.settings.vm;
     let address = SocketAddr::new(vm.address, entry.settings.entry.port);
-    let listener = TcpListener::bind(address).await.wrap_err_with(|| format!("entry port {address}"))?;
-    let socket = UdpSocket::bind(address).await.wrap_err_with(|| format!("load port {address}"))?;
+    let listener =
+        TcpListener::bind(address).await.wrap_err_with(|| format!("cannot bind entry port {address}"))?;
+    let socket =
+        UdpSocket::bind(address).await.wrap_err_with(|| format!("cannot bind load port {address}"))?;
     let operator = SocketAddr::new(vm.address, entry.settings.operator.entry_port);
     let _operator = serve_operator(operator, metrics, Arc::clone(&events), Arc::clone(&entry))?;
     spawn_feed(SocketAddr::new(vm.address, entry.settings.control.port), Arc::clone(&entry));
 
-    let (phase, phases) = watch::channel(Phase::Running);
-    tokio::spawn(exchange(Arc::clone(&entry), socket));
+    let (phase, phase_receiver) = watch::channel(Phase::Running);
+    tokio::spawn(exchange_load(Arc::clone(&entry), socket));
     tokio::spawn(maintain(Arc::clone(&entry)));
-    let accepting = tokio::spawn(accept(Arc::clone(&entry), listener, bounds(&entry.settings), phases));
+    let accept_task =
+        tokio::spawn(accept(Arc::clone(&entry), listener, serve_options(&entry.settings), phase_receiver));
     events.note(EventKind::Started);
 
     let mut terminate = signal(SignalKind::terminate())?;
@@ -66,32 +69,33 @@
         _ = interrupt.recv() => {}
     }
     stop(&entry, &phase).await;
-    accepting.abort();
+    accept_task.abort();
     Ok(())
 }
 
-fn bounds(settings: &Settings) -> ServeOptions {
+fn serve_options(settings: &Settings) -> ServeOptions {
     let EntrySettings { connections_max, head_limit_bytes, head_timeout_ms, .. } = settings.entry;
     ServeOptions { connections_max, head_limit_bytes, head_timeout_ms }
 }
 
-/// A planned stop: callers are sent elsewhere first, then connections close, then what is in flight ends.
+/// Stops gracefully: serves on until callers have been directed to other VMs, then refuses new connections,
+/// closes each open one after its current request and waits for them to end, all within `entry.stop_wait_ms`.
 async fn stop(entry: &Entry, phase: &watch::Sender<Phase>) {
     entry.stopping.store(true, Ordering::Relaxed);
     entry.events.note(EventKind::Stopping { in_flight: u64::from(entry.requests()) });
-    let until = Instant::now() + Duration::from_millis(entry.settings.entry.stop_wait_ms);
-    // Callers may keep locate's answer that long, so their connections are still served.
-    let grace = STOP_SPREADS + Duration::from_millis(entry.routes().locate_keep_ms);
-    sleep(grace.min(until.saturating_duration_since(Instant::now()))).await;
+    let stop_deadline = Instant::now() + Duration::from_millis(entry.settings.entry.stop_wait_ms);
+    // Callers may cache an answer of the locate service for this long, so connections are still accepted.
+    let grace = STOP_PROPAGATION_TIME + Duration::from_millis(entry.routes().locate_keep_ms);
+    sleep(grace.min(stop_deadline.saturating_duration_since(Instant::now()))).await;
     phase.send_replace(Phase::Closing);
-    while in_flight(entry, phase) > 0 && Instant::now() < until {
+    while in_flight(entry, phase) > 0 && Instant::now() < stop_deadline {
         sleep(POLL_INTERVAL).await;
     }
     entry.events.note(EventKind::Stopped { cut: in_flight(entry, phase) });
-    sleep(FLUSH).await;
+    sleep(FLUSH_TIME).await;
 }
 
-/// Connections that still carry something, and keyed runs.
+/// Number of open connections and of running requests with an idempotency key.
 fn in_flight(entry: &Entry, phase: &watch::Sender<Phase>) -> u64 {
-    phase.receiver_count() as u64 + entry.keyed_running.load(Ordering::Relaxed)
+    phase.receiver_count() as u64 + entry.keyed_in_flight.load(Ordering::Relaxed)
 }
--- a/crates/pointvane-entry/src/transitions.rs
+++ b/crates/pointvane-entry/src/transitions.rs
@@ -1,4 +1,4 @@
-//! Changes of state of services and upstreams, as the time line tells them.
+//! Detects changes of state of services and upstreams for the event log.
 
 use {
     pointvane_balance::UpstreamSummary,
@@ -7,30 +7,30 @@
     std::{collections::HashMap, mem},
 };
 
-/// The states of services and upstreams that the time line last told.
+/// Last logged states of services and upstreams.
 #[derive(Debug, Default)]
-pub struct Transitions {
-    /// By service and upstream.
-    upstreams: HashMap<(Name, Name), UpstreamStage>,
-    /// By service.
+pub struct TransitionTracker {
+    /// Keyed by service and upstream.
+    upstreams: HashMap<(Name, Name), UpstreamState>,
+    /// Keyed by service.
     services: HashMap<Name, OverloadState>,
 }
 
-/// Whether a service refuses work, as the time line last told.
+/// Whether a service refuses requests for overload, as last logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct OverloadState {
-    /// Requests refused for overload at the last check.
+    /// Total of requests refused for overload, as of the last check.
     refused: u64,
     /// Checks since the last refusal.
     quiet_checks: u32,
     overloaded: bool,
 }
 
-/// Checks without a refusal after which an overload counts as over. Not measured.
+/// Number of checks without a refusal after which an overload has ended.
 const QUIET_CHECKS: u32 = 20;
 
 impl OverloadState {
-    /// The load at the next check.
+    /// The state after the next check, for a total of `refused` requests.
     fn next(self, refused: u64) -> Self {
         let quiet_checks = if refused > self.refused { 0 } else { self.quiet_checks.saturating_add(1) };
         let overloaded = refused > self.refused || (self.overloaded && quiet_checks < QUIET_CHECKS);
@@ -38,24 +38,25 @@
     }
 }
 
-/// Whether an upstream leaves or is ejected, as the time line last told.
+/// State of an upstream, as last logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct UpstreamStage {
+struct UpstreamState {
     leaving: bool,
     ejected: bool,
     backing_off: bool,
     limit_per_1000_s: Option<u32>,
 }
 
-impl Transitions {
-    /// Takes the state of a service and its upstreams; gives the events of what changed since the last call.
-    pub fn take(&mut self, service: &Name, refused: u64, upstreams: &[UpstreamSummary]) -> Vec<EventKind> {
-        let load = self.services.entry(service.clone()).or_default();
-        let before = mem::replace(load, load.next(refused));
-        let mut events: Vec<EventKind> = load_event(service, before, *load).into_iter().collect();
+impl TransitionTracker {
+    /// Updates the state of a service and its upstreams. Returns the events for what has changed since the
+    /// last call.
+    pub fn update(&mut self, service: &Name, refused: u64, upstreams: &[UpstreamSummary]) -> Vec<EventKind> {
+        let state = self.services.entry(service.clone()).or_default();
+        let before = mem::replace(state, state.next(refused));
+        let mut events: Vec<EventKind> = overload_event(service, before, *state).into_iter().collect();
         for summary in upstreams {
             let key = (service.clone(), summary.name.clone());
-            let now = UpstreamStage {
+            let now = UpstreamState {
                 leaving: summary.leaving,
                 ejected: summary.ejected,
                 backing_off: summary.back_in_ms.is_some(),
@@ -73,7 +74,7 @@
     }
 }
 
-fn load_event(service: &Name, before: OverloadState, now: OverloadState) -> Option<EventKind> {
+fn overload_event(service: &Name, before: OverloadState, now: OverloadState) -> Option<EventKind> {
     let service = service.clone();
     match (before.overloaded, now.overloaded) {
         (false, true) => Some(EventKind::OverloadBegan { service }),
@@ -82,12 +83,13 @@
     }
 }
 
-/// Leaving goes first: an upstream that leaves is of no interest otherwise.
+/// Event for a change of an upstream's state. Changes of `leaving` have priority over the others, which do
+/// not matter for an upstream that is shutting down.
 fn upstream_event(
     service: &Name,
     summary: &UpstreamSummary,
-    before: UpstreamStage,
-    now: UpstreamStage,
+    before: UpstreamState,
+    now: UpstreamState,
 ) -> Option<EventKind> {
     let (service, upstream) = (service.clone(), summary.name.clone());
     match (before.leaving, now.leaving, before.ejected, now.ejected) {
@@ -99,11 +101,11 @@
     }
 }
 
-/// One that wants no requests for a time, told when it was first seen to want none.
+/// Event for the start or end of a back-off. An extension of a back-off is not logged.
 fn backoff_event(
     service: Name,
     upstream: Name,
-    before: UpstreamStage,
+    before: UpstreamState,
     back_in_ms: Option<u64>,
 ) -> Option<EventKind> {
     match (before.backing_off, back_in_ms) {
--- a/crates/pointvane-entry/src/try_upstream.rs
+++ b/crates/pointvane-entry/src/try_upstream.rs
@@ -1,14 +1,14 @@
-//! One attempt at an upstream, with a hedge beside it if that is due, until the head of an answer comes.
+//! One attempt at an upstream, with a hedged second one if that is due, until the head of a response.
 
 use {
     crate::{
         answer_wait,
         body::UpstreamBody,
-        connections::{Connection, Connections, SendError},
+        connections::{Connection, ConnectionPool, SendError},
         counters::EntryCounters,
-        head_notices::HeadNotices,
+        head_notices::UpstreamNotices,
         notice_recorder::NoticeRecorder,
-        outgoing::Outgoing,
+        outgoing::OutgoingRequest,
         request_body::RequestBody,
         service::Attempt,
     },
@@ -19,42 +19,43 @@
     tokio::time::{Instant, sleep_until, timeout_at},
 };
 
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// How one attempt ended.
-pub enum Tried {
-    /// The head of an answer came.
-    Answer(Response<UpstreamBody>),
-    /// An answer came that says the upstream cannot serve; it is good enough if no other try is left.
-    BadAnswer(Response<UpstreamBody>),
-    /// Nothing was sent.
+/// Result of one attempt.
+pub enum AttemptOutcome {
+    /// The head of a response was received.
+    Response(Response<UpstreamBody>),
+    /// An error response that reports a failure of the upstream. It goes to the caller if no other attempt
+    /// may be made.
+    ErrorResponse(Response<UpstreamBody>),
+    /// Nothing was sent; holds the request body.
     Unsent(RequestBody, ErrorKind),
-    /// Something may have been sent.
+    /// Part of the request may have been sent, or the deadline passed before sending.
     Broken(ErrorKind),
 }
 
-/// One attempt of repeatable work, with a second one beside it if it is slow and there is slack.
-pub async fn try_hedged(
-    outgoing: &Outgoing<'_>,
+/// Makes one attempt of an idempotent request, with a second one beside it if the first is slow and there is
+/// spare capacity.
+pub async fn attempt_hedged(
+    outgoing: &OutgoingRequest<'_>,
     attempt: Attempt,
-    connections: &Connections,
+    connections: &ConnectionPool,
     counters: &EntryCounters,
-) -> Tried {
+) -> AttemptOutcome {
     let first = attempt.upstream();
     let hedge_after_us = outgoing.request.service.lock().hedge_after_us();
-    let first_try = try_once(outgoing, RequestBody::Empty, attempt, connections, counters);
+    let first_attempt = attempt_once(outgoing, RequestBody::Empty, attempt, connections, counters);
     let Some(hedge_after_us) = hedge_after_us else {
-        return first_try.await;
+        return first_attempt.await;
     };
-    tokio::pin!(first_try);
-    let began = Instant::now();
+    tokio::pin!(first_attempt);
+    let started_at = Instant::now();
     let mut schedule = HedgeSchedule::new(hedge_after_us as f64 / US_PER_MS as f64);
     let second = loop {
-        let hedge_at = began + Duration::from_secs_f64(schedule.next_ms() / MS_PER_S);
+        let hedge_at = started_at + Duration::from_secs_f64(schedule.next_ms() / MS_PER_S);
         tokio::select! {
             biased;
-            tried = &mut first_try => return tried,
+            outcome = &mut first_attempt => return outcome,
             () = sleep_until(hedge_at) => schedule.tried(),
         }
         if let Some(second) = outgoing.request.service.hedge(first) {
@@ -62,80 +63,90 @@
         }
     };
     counters.hedged();
-    let second_try = try_once(outgoing, RequestBody::Empty, second, connections, counters);
-    tokio::pin!(second_try);
-    // The one that loses is dropped, which cancels it at its upstream.
+    let second_attempt = attempt_once(outgoing, RequestBody::Empty, second, connections, counters);
+    tokio::pin!(second_attempt);
+    // Dropping the slower attempt cancels it at its upstream.
     tokio::select! {
-        tried = &mut first_try => good_or(tried, second_try).await,
-        tried = &mut second_try => good_or(tried, first_try).await,
+        outcome = &mut first_attempt => success_or(outcome, second_attempt).await,
+        outcome = &mut second_attempt => success_or(outcome, first_attempt).await,
     }
 }
 
-/// A good end, or else the other attempt's.
-async fn good_or(tried: Tried, other: impl Future<Output = Tried>) -> Tried {
-    if matches!(tried, Tried::Answer(_)) { tried } else { other.await }
+/// Returns `outcome` if it is a usable response, or else the outcome of the other attempt.
+async fn success_or(outcome: AttemptOutcome, other: impl Future<Output = AttemptOutcome>) -> AttemptOutcome {
+    if matches!(outcome, AttemptOutcome::Response(_)) { outcome } else { other.await }
 }
 
-/// Sends a request to one upstream and waits for the head of its answer.
-pub async fn try_once(
-    outgoing: &Outgoing<'_>,
+/// Sends a request to one upstream and waits for the head of its response.
+pub async fn attempt_once(
+    outgoing: &OutgoingRequest<'_>,
     body: RequestBody,
     attempt: Attempt,
-    connections: &Connections,
+    connections: &ConnectionPool,
     counters: &EntryCounters,
-) -> Tried {
+) -> AttemptOutcome {
     let give_up_at = outgoing.give_up_at(!body.is_empty());
-    let Ok(connection) = connections.get(attempt.address()).await else {
+    let Ok(connection) = connections.acquire(attempt.address()).await else {
         attempt.end(AttemptEnd::Failed);
-        return Tried::Unsent(body, ErrorKind::UpstreamUnreachable);
+        return AttemptOutcome::Unsent(body, ErrorKind::UpstreamUnreachable);
     };
-    // Read again right before the first byte goes out: this process may have been paused.
-    if outgoing.left_us() == 0 {
-        return Tried::Broken(ErrorKind::DeadlinePassed);
+    // Checked again right before the first byte is sent, as the process may have been paused.
+    if outgoing.remaining_us() == 0 {
+        return AttemptOutcome::Broken(ErrorKind::DeadlinePassed);
     }
-    if attempt.is_unwanted() {
+    if attempt.is_upstream_backing_off() {
         attempt.end(AttemptEnd::Cancelled);
-        return Tried::Unsent(body, ErrorKind::UpstreamsBackingOff);
+        return AttemptOutcome::Unsent(body, ErrorKind::UpstreamsBackingOff);
     }
     counters.attempted();
     let answer_by_us = outgoing.request.deadline_us;
-    let sending =
+    let response_wait =
         answer_wait::send(connection, outgoing.build(body), NoticeRecorder::from(&attempt), answer_by_us);
-    match timeout_at(give_up_at, sending).await {
+    match timeout_at(give_up_at, response_wait).await {
         Ok((connection, Ok(response))) => {
-            counters.upstream_took(&outgoing.request.service.name, attempt.age_s());
-            answered(response, attempt, connection)
+            counters.upstream_responded(&outgoing.request.service.name, attempt.elapsed_s());
+            handle_response(response, attempt, connection)
         }
-        Ok((_, Err(error))) => unanswered(error, attempt),
-        Err(_) => Tried::Broken(ErrorKind::UpstreamTimeout),
+        Ok((_, Err(error))) => handle_send_error(error, attempt),
+        Err(_) => AttemptOutcome::Broken(ErrorKind::UpstreamTimeout),
     }
 }
 
-/// Takes the end of a connection without an answer.
-fn unanswered(error: SendError, attempt: Attempt) -> Tried {
+/// Ends an attempt whose connection failed without a response.
+fn handle_send_error(error: SendError, attempt: Attempt) -> AttemptOutcome {
     attempt.end(AttemptEnd::Failed);
     match error {
-        SendError::Unsent(request) => Tried::Unsent(request.into_body(), ErrorKind::UpstreamUnreachable),
-        SendError::Broken => Tried::Broken(ErrorKind::UpstreamBroken),
+        SendError::Unsent(request) => {
+            AttemptOutcome::Unsent(request.into_body(), ErrorKind::UpstreamUnreachable)
+        }
+        SendError::Broken => AttemptOutcome::Broken(ErrorKind::UpstreamBroken),
     }
 }
 
-/// Takes the head of an answer; its body ends the attempt.
-fn answered(response: Response<Incoming>, mut attempt: Attempt, connection: Connection) -> Tried {
-    let notices = HeadNotices::of(&response);
-    attempt.reported(notices.report);
-    // At the head, not at the end of the body: other requests must not be sent there meanwhile.
+/// Processes the head of a response; the end of its body ends the attempt.
+fn handle_response(
+    response: Response<Incoming>,
+    mut attempt: Attempt,
+    connection: Connection,
+) -> AttemptOutcome {
+    let notices = UpstreamNotices::from_response(&response);
+    attempt.set_report(notices.report);
+    // Recorded at the head rather than the end of the body: no other requests may be sent there meanwhile.
     if let Some(for_us) = notices.back_off_us {
         attempt.back_off(for_us);
     }
     attempt.record_limit(notices.limit);
-    let end = end_of(response.status());
+    let end = attempt_end(response.status());
     let response = response.map(|body| UpstreamBody::new(body, connection, Some(attempt), end));
-    if end == AttemptEnd::Answered { Tried::Answer(response) } else { Tried::BadAnswer(response) }
+    if end == AttemptEnd::Answered {
+        AttemptOutcome::Response(response)
+    } else {
+        AttemptOutcome::ErrorResponse(response)
+    }
 }
 
-/// What a status says of the upstream.
-fn end_of(status: StatusCode) -> AttemptEnd {
+/// Result of an attempt by the status of its response.
+fn attempt_end(status: StatusCode) -> AttemptEnd {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => AttemptEnd::Shed,
         status if status.is_server_error() => AttemptEnd::Failed,
--- a/crates/pointvane-entry/tests/settings.rs
+++ b/crates/pointvane-entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The program's answer to good and bad settings.
+//! Checks how the program handles valid and invalid settings.
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_pointvane-entry");
 
