--- a/crates/pointvane-mesh/src/codec.rs
+++ b/crates/pointvane-mesh/src/codec.rs
@@ -1,6 +1,7 @@
-//! Bytes of messages: `postcard` behind a version byte, in bounded datagrams and frames.
+//! Encoding of messages: a version byte followed by `postcard` data, in datagrams and frames of limited size.
 //!
-//! A frame on a stream is a length (4 bytes, big endian) and that many bytes of a message; those of a packed frame are compressed (deflate).
+//! A frame on a stream is a 4-byte big-endian length followed by that many bytes of an encoded message. In a packed
+//! frame, these bytes are compressed with deflate, and the length is that of the compressed data.
 
 use {
     miniz_oxide::{deflate::compress_to_vec, inflate::decompress_to_vec_with_limit},
@@ -11,44 +12,44 @@
     },
 };
 
-/// Version of all messages between the processes; others are dropped.
+/// Protocol version of all messages between processes; messages of other versions are dropped.
 pub const VERSION: u8 = 1;
-/// Largest datagram that is sent or read, in bytes.
+/// Maximum size of a datagram that is sent or received, in bytes, without IP and UDP headers.
 pub const DATAGRAM_LIMIT_BYTES: usize = 1_400;
-/// Largest frame that is sent or read, in bytes.
+/// Maximum size of a frame's message that is sent or received, in bytes, without the length prefix.
 pub const FRAME_LIMIT_BYTES: usize = 4 << 20;
-/// Level of compression: the fastest.
-const PACK_LEVEL: u8 = 1;
-/// Bytes that IP and UDP add to a datagram.
+/// Deflate level: the fastest.
+const COMPRESSION_LEVEL: u8 = 1;
+/// Size of the IPv4 and UDP headers of a datagram, in bytes.
 pub const UDP_HEAD_BYTES: usize = 28;
 
-/// Why bytes are no message.
+/// Reason why a message cannot be encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CodecError {
-    /// Longer than its bound.
+    /// The message exceeds the size limit of a datagram or frame.
     TooLong,
-    /// Of another version.
+    /// The message has a version other than [`VERSION`].
     Version,
-    /// Not a message.
+    /// The bytes are not a valid message of the expected type.
     Malformed,
 }
 
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::TooLong => "message longer than its bound",
-            Self::Version => "message of another version",
-            Self::Malformed => "not a message",
+            Self::TooLong => "message exceeds the size limit",
+            Self::Version => "unsupported message version",
+            Self::Malformed => "malformed message",
         })
     }
 }
 
 impl std::error::Error for CodecError {}
 
-/// A message as a datagram's bytes.
+/// Encodes a message as a datagram.
 ///
 /// # Errors
-/// [`CodecError::TooLong`] when it does not fit a datagram.
+/// [`CodecError::TooLong`] if the message exceeds [`DATAGRAM_LIMIT_BYTES`].
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     let bytes = encode_unbounded(message)?;
     if bytes.len() > DATAGRAM_LIMIT_BYTES { Err(CodecError::TooLong) } else { Ok(bytes) }
@@ -58,10 +59,10 @@
     postcard::to_extend(message, vec![VERSION]).map_err(|_| CodecError::Malformed)
 }
 
-/// The message in a datagram's or frame's bytes; trailing bytes are an error.
+/// Decodes the message of a datagram or frame (without the frame's length prefix). Trailing bytes are an error.
 ///
 /// # Errors
-/// What is wrong with the bytes.
+/// [`CodecError::Version`] for a message of another version, [`CodecError::Malformed`] for anything else that is not a `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     let (version, body) = bytes.split_first().ok_or(CodecError::Malformed)?;
     if *version != VERSION {
@@ -73,10 +74,10 @@
     }
 }
 
-/// A message as one frame's bytes, its length included.
+/// Encodes a message as a frame, length prefix included.
 ///
 /// # Errors
-/// [`CodecError::TooLong`] for a message beyond the bound.
+/// [`CodecError::TooLong`] if the message exceeds [`FRAME_LIMIT_BYTES`].
 pub fn frame<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     let bytes = encode_unbounded(message)?;
     if bytes.len() > FRAME_LIMIT_BYTES {
@@ -87,13 +88,13 @@
     Ok(frame)
 }
 
-/// A message as one packed frame's bytes, its length included.
+/// Encodes a message as a packed (compressed) frame, length prefix included.
 ///
 /// # Errors
-/// [`CodecError::TooLong`] for a message beyond the bound, packed or not.
+/// [`CodecError::TooLong`] if the message exceeds [`FRAME_LIMIT_BYTES`] before or after compression.
 pub fn packed_frame<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     let bytes = encode_unbounded(message)?;
-    let packed = compress_to_vec(&bytes, PACK_LEVEL);
+    let packed = compress_to_vec(&bytes, COMPRESSION_LEVEL);
     if bytes.len().max(packed.len()) > FRAME_LIMIT_BYTES {
         return Err(CodecError::TooLong);
     }
@@ -102,48 +103,48 @@
     Ok(frame)
 }
 
-/// The message in a packed frame's bytes, which unpack to no more than a frame holds.
+/// Decodes the message of a packed frame (without its length prefix), decompressing at most [`FRAME_LIMIT_BYTES`].
 ///
 /// # Errors
-/// What is wrong with the bytes.
+/// As [`decode`]; [`CodecError::Malformed`] also if decompression fails or exceeds the limit.
 pub fn unpacked<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     let bytes = decompress_to_vec_with_limit(bytes, FRAME_LIMIT_BYTES).map_err(|_| CodecError::Malformed)?;
     decode(&bytes)
 }
 
-/// The number of bytes that follow a frame's first four.
+/// Decodes a frame's length prefix: the number of bytes that follow it.
 ///
 /// # Errors
-/// [`CodecError::TooLong`] for a length beyond the bound.
-pub fn frame_length(first: [u8; 4]) -> Result<usize, CodecError> {
-    let length = u32::from_be_bytes(first) as usize;
+/// [`CodecError::TooLong`] for a length above [`FRAME_LIMIT_BYTES`].
+pub fn frame_length(prefix: [u8; 4]) -> Result<usize, CodecError> {
+    let length = u32::from_be_bytes(prefix) as usize;
     if length > FRAME_LIMIT_BYTES { Err(CodecError::TooLong) } else { Ok(length) }
 }
 
-/// Writes a message as one frame.
+/// Writes a message as one frame (not packed).
 ///
 /// # Errors
-/// Those of the stream, or `InvalidData` for a message beyond the bound.
+/// Errors of the stream, or `InvalidData` for a message above [`FRAME_LIMIT_BYTES`].
 pub fn write_frame<T: Serialize>(stream: &mut impl Write, message: &T) -> io::Result<()> {
-    stream.write_all(&frame(message).map_err(invalid)?)
+    stream.write_all(&frame(message).map_err(invalid_data)?)
 }
 
-/// Reads one frame's message.
+/// Reads one frame (not packed) and decodes its message.
 ///
 /// # Errors
-/// Those of the stream, or `InvalidData` for what is no message.
+/// Errors of the stream, or `InvalidData` for a frame that is too long or does not decode as a `T`.
 pub fn read_frame<T: DeserializeOwned>(stream: &mut impl Read) -> io::Result<T> {
     let mut length = [0; 4];
     stream.read_exact(&mut length)?;
-    let length = frame_length(length).map_err(invalid)?;
+    let length = frame_length(length).map_err(invalid_data)?;
     let mut bytes = Vec::new();
     stream.take(length as u64).read_to_end(&mut bytes)?;
     if bytes.len() < length {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
-    decode(&bytes).map_err(invalid)
+    decode(&bytes).map_err(invalid_data)
 }
 
-fn invalid(error: CodecError) -> io::Error {
+fn invalid_data(error: CodecError) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, error)
 }
--- a/crates/pointvane-mesh/src/feed.rs
+++ b/crates/pointvane-mesh/src/feed.rs
@@ -1,4 +1,4 @@
-//! Messages between a VM's control and its entry and locate, on a stream over the VM's own address.
+//! Messages between a VM's control process and its entry and locate processes, on a stream over the VM's own address.
 
 use {
     crate::{member::MemberRow, spread::Stored},
@@ -6,60 +6,60 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Which program opens a stream.
+/// The program that opens a stream to a control process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedRole {
-    /// The VM's entry; it sends an [`EntryReport`] from time to time.
+    /// The VM's entry process; it sends an [`EntryReport`] periodically.
     Entry,
-    /// The VM's locate.
+    /// The VM's locate process.
     Locate,
-    /// Another VM's control; it sends a [`crate::PeerRequest`].
+    /// The control process of another VM; it sends a [`crate::PeerRequest`].
     Peer,
 }
 
-/// First message on a stream to a control.
+/// First message on a stream to a control process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedHello {
-    /// Which program.
+    /// The program that opened the stream.
     pub role: FeedRole,
 }
 
-/// A report of an entry to its control.
+/// Status report of an entry process to its control process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryReport {
-    /// The entry process's life.
+    /// Incarnation of the entry process.
     pub incarnation: Incarnation,
-    /// Requests it holds.
+    /// Number of requests in flight and waiting.
     pub requests: u32,
-    /// Whether it is stopping as planned.
+    /// Whether the process is shutting down gracefully.
     pub leaving: bool,
 }
 
-/// One VM in the platform's list.
+/// One VM in the platform's list of VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
-    /// The name of the upstream or entry VM.
+    /// Name of the upstream or entry VM.
     pub name: Name,
-    /// Whether it is leaving.
+    /// Whether the VM is leaving the fleet.
     pub leaving: bool,
 }
 
-/// The platform's list of live and leaving VMs; its published form is this as JSON.
+/// The platform's list of live and leaving VMs. It is published as JSON of this type.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
     /// The VMs.
     pub vms: Vec<ListedVm>,
 }
 
-/// An update of a control for its entry and locate.
+/// Update sent by a control process to its entry and locate processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedUpdate {
-    /// The configuration in force from now on.
+    /// The configuration that applies from now on.
     Configuration(Stored),
-    /// All members.
+    /// Rows of all members; replaces the previous ones.
     Members(Vec<MemberRow>),
-    /// The platform's list.
+    /// The platform's list of VMs; replaces the previous one.
     VmList(VmList),
-    /// Nothing new; the control is there.
+    /// Keep-alive: nothing has changed and the control process is running.
     Beat,
 }
--- a/crates/pointvane-mesh/src/lib.rs
+++ b/crates/pointvane-mesh/src/lib.rs
@@ -1,7 +1,8 @@
-//! State machines for what the processes of pointvane share: membership, configuration and load.
+//! State machines for the state that pointvane's processes share: membership, configuration and load.
 //!
-//! All are free of I/O, threads, clocks and ambient randomness: datagrams, values and the time come in,
-//! actions go out. [`codec`] turns messages into bounded bytes and back.
+//! The state machines perform no I/O, start no threads, read no clock and use no global random source: they take
+//! datagrams, values and the current time as input, and return actions. [`codec`] encodes messages into datagrams and
+//! frames of limited size, and decodes them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/pointvane-mesh/src/load.rs
+++ b/crates/pointvane-mesh/src/load.rs
@@ -1,4 +1,5 @@
-//! Load exchanged between entry VMs (three programs only): one datagram, its sender under a byte budget, its receiver.
+//! Exchange of load between entry VMs (in the deployment form with three programs only): the datagram, its sender, which
+//! keeps to a bandwidth budget, and its receiver.
 
 use {
     crate::codec::{self, CodecError, UDP_HEAD_BYTES},
@@ -7,18 +8,18 @@
     std::{collections::HashMap, net::IpAddr},
 };
 
-/// What one entry VM knows of the load, for another.
+/// The load that one entry VM reports to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDatagram {
-    /// The sender's life.
+    /// Incarnation of the sender's entry process.
     pub incarnation: Incarnation,
-    /// Count of the sender's datagrams in this life.
+    /// Sequence number of the sender's datagrams in this incarnation; the first is 1.
     pub sequence: u64,
-    /// Revision whose positions are meant.
+    /// Revision of the configuration that the positions refer to.
     pub revision: u64,
-    /// The sender's requests in flight and waiting, all services together.
+    /// The sender's requests in flight and waiting, over all services.
     pub requests: u32,
-    /// What it knows, by service.
+    /// Observed load, by service.
     pub services: Vec<ServiceLoad>,
 }
 
@@ -27,27 +28,28 @@
 pub struct ServiceLoad {
     /// Position of the service in the configuration.
     pub position: u16,
-    /// The load of its upstreams.
+    /// Observed load of the service's upstreams.
     pub observations: Vec<Observation>,
 }
 
-/// The limits that upstreams of one service advertise.
+/// The request limits that the upstreams of one service advertise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLimits {
     /// Position of the service in the configuration.
     pub position: u16,
-    /// The limits.
+    /// The advertised limits.
     pub limits: Vec<ObservedLimit>,
 }
 
-/// A load datagram, and the limits that go with it.
+/// A load datagram with the advertised limits.
 ///
-/// Without limits its bytes are those of the load datagram alone; entry VMs that know of no limits take those, and drop the others.
+/// Without limits it is encoded as a plain [`LoadDatagram`], which entry VMs of releases without limits can decode; they
+/// drop messages that contain limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadMessage {
-    /// The load.
+    /// The load datagram.
     pub load: LoadDatagram,
-    /// The limits, by service.
+    /// Advertised limits, by service.
     pub limits: Vec<ServiceLimits>,
 }
 
@@ -62,16 +64,16 @@
     }
 }
 
-/// Bounds on what a [`LoadSender`] sends.
+/// Limits on what a [`LoadSender`] sends.
 #[derive(Clone, Debug)]
 pub struct LoadSenderOptions {
-    /// Bytes a second, IP and UDP heads included.
+    /// Bandwidth budget in bytes per second, IP and UDP headers included.
     pub bytes_per_s: u32,
-    /// Most observations in one datagram.
+    /// Maximum number of observations in one datagram.
     pub observations_max: usize,
-    /// Most peers that one round goes to.
+    /// Maximum number of peers that one round is sent to.
     pub peers_max: usize,
-    /// Shortest time between two rounds, in milliseconds.
+    /// Minimum interval between two rounds, in milliseconds.
     pub interval_min_ms: u64,
 }
 
@@ -81,95 +83,98 @@
     }
 }
 
-/// Decides when load is sent; holds the byte budget.
+/// Decides when load is sent, and keeps to the bandwidth budget with a token bucket.
 #[derive(Debug)]
 pub struct LoadSender {
     options: LoadSenderOptions,
     incarnation: Incarnation,
     sequence: u64,
     budget_bytes: f64,
-    filled_at_us: u64,
-    round_at_us: u64,
-    /// Size of the last round's datagram, from which the cost of the next is foreseen.
+    refilled_at_us: u64,
+    last_round_at_us: u64,
+    /// Size of the last round's datagram, used to estimate the cost_bytes of the next round.
     datagram_bytes: usize,
 }
 
-/// Size that the first datagram is taken to have, in bytes. Not measured.
-const FIRST_DATAGRAM_BYTES: usize = 60;
-/// Time whose budget may be saved up.
+/// Estimated size of the first datagram, in bytes, before any has been encoded.
+const INITIAL_DATAGRAM_BYTES: usize = 60;
+/// Capacity of the token bucket, as the time in which the budget refills it, in microseconds.
 const BURST_US: u64 = 200 * US_PER_MS;
 
 impl LoadSender {
-    /// A sender of this life with an empty budget.
+    /// Creates a sender for this incarnation of the process; its token bucket starts empty.
     pub fn new(options: LoadSenderOptions, incarnation: Incarnation, now_us: u64) -> Self {
         Self {
             options,
             incarnation,
             sequence: 0,
             budget_bytes: 0.0,
-            filled_at_us: now_us,
-            round_at_us: now_us,
-            datagram_bytes: FIRST_DATAGRAM_BYTES,
+            refilled_at_us: now_us,
+            last_round_at_us: now_us,
+            datagram_bytes: INITIAL_DATAGRAM_BYTES,
         }
     }
 
-    /// Takes a new budget.
+    /// Changes the bandwidth budget, in bytes per second.
     pub fn set_bytes_per_s(&mut self, bytes_per_s: u32) {
         self.options.bytes_per_s = bytes_per_s;
     }
 
-    /// Rounds sent so far.
+    /// Number of rounds sent so far.
     pub fn rounds(&self) -> u64 {
         self.sequence
     }
 
-    /// Most observations in one datagram.
+    /// Maximum number of observations in one datagram.
     pub fn observations_max(&self) -> usize {
         self.options.observations_max
     }
 
-    /// How many of `peers` a round may go to now; 0 while the budget or the interval forbids one.
+    /// Number of peers, out of `peers`, that a round may be sent to now; 0 while the budget or the minimum interval
+    /// forbids a round.
     pub fn round_size(&mut self, peers: usize, now_us: u64) -> usize {
         let rate = f64::from(self.options.bytes_per_s);
-        let passed_us = now_us.saturating_sub(self.filled_at_us);
-        self.filled_at_us = now_us;
-        let burst = rate * BURST_US as f64 / US_PER_S as f64;
-        self.budget_bytes = (self.budget_bytes + rate * passed_us as f64 / US_PER_S as f64).min(burst);
-        let early = now_us.saturating_sub(self.round_at_us) < self.options.interval_min_ms * US_PER_MS;
-        let wanted = peers.min(self.options.peers_max);
-        let cost = (wanted * (self.datagram_bytes + UDP_HEAD_BYTES)) as f64;
-        if early || self.budget_bytes < cost.min(burst) { 0 } else { wanted }
+        let elapsed_us = now_us.saturating_sub(self.refilled_at_us);
+        self.refilled_at_us = now_us;
+        let burst_bytes = rate * BURST_US as f64 / US_PER_S as f64;
+        self.budget_bytes = (self.budget_bytes + rate * elapsed_us as f64 / US_PER_S as f64).min(burst_bytes);
+        let too_early =
+            now_us.saturating_sub(self.last_round_at_us) < self.options.interval_min_ms * US_PER_MS;
+        let recipients = peers.min(self.options.peers_max);
+        let cost_bytes = (recipients * (self.datagram_bytes + UDP_HEAD_BYTES)) as f64;
+        if too_early || self.budget_bytes < cost_bytes.min(burst_bytes) { 0 } else { recipients }
     }
 
-    /// The bytes of the next round's datagram, paid for `peers` peers; none if it cannot be encoded.
+    /// Encodes the datagram of the next round and charges the budget for sending it to `peers` peers. Returns `None` if
+    /// it cannot be encoded, for example because it is too long; nothing is charged then.
     pub fn next_datagram(
         &mut self,
         revision: u64,
         requests: u32,
-        told: (Vec<ServiceLoad>, Vec<ServiceLimits>),
+        content: (Vec<ServiceLoad>, Vec<ServiceLimits>),
         peers: usize,
         now_us: u64,
     ) -> Option<Vec<u8>> {
         self.sequence += 1;
         let (incarnation, sequence) = (self.incarnation, self.sequence);
-        let (services, limits) = told;
+        let (services, limits) = content;
         let load = LoadDatagram { incarnation, sequence, revision, requests, services };
         let bytes = LoadMessage { load, limits }.encode().ok()?;
         self.datagram_bytes = bytes.len();
         self.budget_bytes -= (peers * (bytes.len() + UDP_HEAD_BYTES)) as f64;
-        self.round_at_us = now_us;
+        self.last_round_at_us = now_us;
         Some(bytes)
     }
 }
 
-/// Why a datagram was dropped.
+/// Reason why a load datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejected {
-    /// It is no load datagram of this version.
+    /// The bytes are not a load datagram of this protocol version.
     Malformed,
-    /// Its sender is no member.
+    /// The sender is not a member.
     Stranger,
-    /// It is of an earlier life, repeated, or overtaken by a later one.
+    /// The datagram is of an earlier incarnation, a duplicate, or older than one already received.
     Late,
 }
 
@@ -180,14 +185,14 @@
     requests: u32,
 }
 
-/// Takes load datagrams of members, each in order and once.
+/// Accepts load datagrams of members, and drops duplicates and those out of order.
 #[derive(Debug, Default)]
 pub struct LoadReceiver {
     peers: HashMap<IpAddr, Peer>,
 }
 
 impl LoadReceiver {
-    /// Takes the members whose datagrams are welcome; those of others are forgotten.
+    /// Sets the members whose datagrams are accepted; the state of all other senders is discarded.
     pub fn set_members(&mut self, addresses: &[IpAddr]) {
         self.peers.retain(|address, _| addresses.contains(address));
         for &address in addresses {
@@ -195,10 +200,10 @@
         }
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram from the network and checks its sender, incarnation and sequence number.
     ///
     /// # Errors
-    /// Why it was dropped.
+    /// The reason why the datagram was dropped.
     pub fn receive(&mut self, from: IpAddr, bytes: &[u8]) -> Result<LoadMessage, Rejected> {
         let message = LoadMessage::decode(bytes).map_err(|_| Rejected::Malformed)?;
         let datagram = &message.load;
@@ -213,7 +218,7 @@
         Ok(message)
     }
 
-    /// Requests that a peer last said it holds.
+    /// Number of requests that a peer last reported; `None` if it has not sent a datagram.
     pub fn requests(&self, from: IpAddr) -> Option<u32> {
         self.peers.get(&from).filter(|peer| peer.sequence > 0).map(|peer| peer.requests)
     }
--- a/crates/pointvane-mesh/src/member.rs
+++ b/crates/pointvane-mesh/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one VM of the fleet.
+//! State of one VM of the fleet as exchanged between members, and the precedence of such states.
 
 use {
     crate::spread::Stamp,
@@ -7,84 +7,84 @@
     std::{cmp::Ordering, net::SocketAddr},
 };
 
-/// The entry process of a VM, as its control last published.
+/// State of a VM's entry process as its control process last published it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRow {
-    /// The entry process's life, which keys name.
+    /// Incarnation of the entry process; request keys contain it.
     pub incarnation: Incarnation,
-    /// Requests it holds.
+    /// Number of requests in flight and waiting.
     pub requests: u32,
-    /// Whether it is stopping as planned.
+    /// Whether the process is shutting down gracefully.
     pub leaving: bool,
 }
 
-/// One VM, as exchanged between controls or nodes.
+/// State of one VM, as exchanged between control processes or nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// Who it is, with its control's life.
+    /// Identity of the VM, with the incarnation of its control process.
     pub identity: VmIdentity,
-    /// Port of its control.
+    /// Port of its control process.
     pub control_port: u16,
-    /// Port of its entry.
+    /// Port of its entry process.
     pub entry_port: u16,
-    /// What is believed of it.
+    /// Membership state of the VM as its sender knows it.
     pub state: VmState,
-    /// Version of this life's own row; a higher one overrides a suspicion (SWIM's incarnation number).
+    /// Version of the row within the incarnation (SWIM's incarnation number); the VM refutes a suspicion by raising it.
     pub version: u32,
-    /// Its entry process; none while that does not run.
+    /// Its entry process; `None` while that is not running.
     pub entry: Option<EntryRow>,
-    /// The configuration it holds.
+    /// Stamp of the configuration that it holds.
     pub stamp: Stamp,
-    /// What its link carries, in Mbit/s; 0 where that is not known.
+    /// Bandwidth of its network link, in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
 }
 
-/// Precedence of a row over another about the same VM; the larger is kept.
+/// Precedence of a row among rows about the same VM; the row with the greatest precedence is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     incarnation: Incarnation,
     dead: bool,
     version: u32,
-    suspicion: u8,
+    state_rank: u8,
 }
 
 impl MemberRow {
-    /// Where its control takes datagrams and streams.
+    /// Address at which its control process receives datagrams and accepts streams.
     pub fn control_address(&self) -> SocketAddr {
         SocketAddr::new(self.identity.address, self.control_port)
     }
 
-    /// The row's precedence: a later life first, then death, then a higher version, then suspicion.
+    /// The row's precedence: by incarnation, then [`VmState::Dead`] over all other states, then by version, then by state.
     pub fn precedence(&self) -> Precedence {
-        let suspicion = match self.state {
+        let state_rank = match self.state {
             VmState::Live => 0,
             VmState::Suspect => 1,
             VmState::Leaving => 2,
             VmState::Dead => 3,
         };
         let dead = self.state == VmState::Dead;
-        Precedence { incarnation: self.identity.incarnation, dead, version: self.version, suspicion }
+        Precedence { incarnation: self.identity.incarnation, dead, version: self.version, state_rank }
     }
 
-    /// Whether new callers may be sent to its entry.
+    /// Whether new callers may be sent to its entry process.
     pub fn takes_callers(&self) -> bool {
         self.state == VmState::Live && self.entry.is_some_and(|entry| !entry.leaving)
     }
 }
 
-/// A row with what this process keeps beside it.
+/// A member's row with this process's local bookkeeping.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The row.
+    /// The member's row.
     pub row: MemberRow,
-    /// When the state last changed here.
+    /// Local time of the last change of state, in microseconds.
     pub changed_at_us: u64,
-    /// How many more times the row is passed on.
+    /// How many more times the row is sent to other members.
     pub transmissions_left: u32,
 }
 
 impl Member {
-    /// Compares a row that was received with the one held.
+    /// Compares the precedence of a received row with that of the stored row.
     pub fn compare(&self, received: &MemberRow) -> Ordering {
         received.precedence().cmp(&self.row.precedence())
     }
