--- a/crates/pointvane-mesh/src/membership.rs
+++ b/crates/pointvane-mesh/src/membership.rs
@@ -1,9 +1,10 @@
-//! Membership by SWIM: pings of random members, ping-req to others, suspicion, refutation by a higher version within an
-//! incarnation, dissemination by piggyback.
+//! SWIM membership: pings of random members, indirect pings (ping-req), suspicion, refutation by a higher version within an
+//! incarnation, and dissemination by piggybacking on datagrams.
 //!
-//! A state machine for both forms: datagrams and the time come in, [`Action`]s go out. It owns the rows of all members. A
-//! process that was paused does not count its own silence against others; dead members and seeds are pinged from time to
-//! time, so that a healed cut is noticed. Tests: `tests/membership.rs`, `tests/restart.rs`.
+//! The state machine serves both deployment forms: it takes datagrams and the current time, returns [`Action`]s, and owns
+//! the rows of all members. A process that was paused does not suspect others for the time of its own pause. Dead members
+//! and seeds are pinged periodically, so that members find each other again after a network partition. Tests:
+//! `tests/membership.rs`, `tests/restart.rs`.
 
 use {
     crate::{
@@ -23,17 +24,17 @@
 
 pub use options::MembershipOptions;
 
-/// What the shell should do.
+/// An action for the caller of the state machine to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this datagram.
+    /// Send a datagram.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
-        /// What.
+        /// Message to encode.
         message: Box<GossipMessage>,
     },
-    /// Note a change of state.
+    /// A member's state has changed.
     Changed(MemberChange),
 }
 
@@ -42,21 +43,21 @@
 pub struct MemberChange {
     /// The VM.
     pub name: Name,
-    /// Its state now.
+    /// Its new state.
     pub state: VmState,
 }
 
-/// A ping whose ack is waited for.
+/// A ping that has not been acknowledged yet.
 #[derive(Clone, Debug)]
 struct PendingPing {
     target: Name,
     sequence: u64,
     sent_at_us: u64,
-    /// Whether others were sent a ping-req for it.
+    /// Whether other members have been sent a ping-req for the target.
     indirect: bool,
 }
 
-/// A ping sent for another member, at its ping-req.
+/// A ping sent on behalf of another member that requested it by a ping-req.
 #[derive(Clone, Debug)]
 struct IndirectPing {
     sequence: u64,
@@ -65,7 +66,7 @@
     sent_at_us: u64,
 }
 
-/// The members as one process knows them.
+/// The membership state machine of one process.
 #[derive(Debug)]
 pub struct Membership {
     options: MembershipOptions,
@@ -76,14 +77,14 @@
     indirect_pings: Vec<IndirectPing>,
     sequence: u64,
     rounds: u64,
-    round_at_us: u64,
-    /// Members that are still to be pinged in this turn, in random order.
-    ping_order: Vec<Name>,
+    last_round_at_us: u64,
+    /// Members still to be pinged before all are shuffled again, in random order; the last is next.
+    ping_queue: Vec<Name>,
     rng: SmallRng,
 }
 
 impl Membership {
-    /// A process that knows only itself.
+    /// Creates the state of a process that knows no other member; `me` is its own row, `seed` that of its random numbers.
     pub fn new(options: MembershipOptions, me: MemberRow, seed: u64, now_us: u64) -> Self {
         Self {
             options,
@@ -94,8 +95,8 @@
             indirect_pings: Vec::new(),
             sequence: 0,
             rounds: 0,
-            round_at_us: now_us,
-            ping_order: Vec::new(),
+            last_round_at_us: now_us,
+            ping_queue: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -110,17 +111,17 @@
         std::iter::once(&self.me).chain(self.members.values().map(|member| &member.row))
     }
 
-    /// Sets this VM's entry process; a new life or a change to leaving makes a new version of the row.
+    /// Sets the state of this VM's entry process. A change of its incarnation or of `leaving` raises the row's version.
     pub fn set_entry(&mut self, entry: Option<EntryRow>) {
         let (before, after) = (self.me.entry, entry);
         self.me.entry = entry;
-        let identity = |row: Option<EntryRow>| row.map(|row| (row.incarnation, row.leaving));
-        if identity(before) != identity(after) {
+        let versioned = |row: Option<EntryRow>| row.map(|row| (row.incarnation, row.leaving));
+        if versioned(before) != versioned(after) {
             self.me.version += 1;
         }
     }
 
-    /// Sets what this process holds; a change is announced at once.
+    /// Sets the stamps of the values that this process holds; a change is announced at once.
     pub fn set_stamps(&mut self, stamps: Stamps) -> Vec<Action> {
         if stamps == self.stamps {
             return Vec::new();
@@ -137,27 +138,27 @@
         self.announce()
     }
 
-    /// Lets time pass; call it several times in each ping interval.
+    /// Advances the time; must be called several times in each probe interval.
     pub fn tick(&mut self, now_us: u64) -> Vec<Action> {
         let interval_us = self.options.probe_interval_ms * US_PER_MS;
-        let since_us = now_us.saturating_sub(self.round_at_us);
+        let elapsed_us = now_us.saturating_sub(self.last_round_at_us);
         let mut actions = Vec::new();
-        if since_us > 2 * interval_us {
-            self.reset_times(now_us);
+        if elapsed_us > 2 * interval_us {
+            self.restart_timers(now_us);
         }
         self.send_ping_requests(now_us, &mut actions);
-        if since_us >= interval_us {
-            self.round_at_us = now_us;
+        if elapsed_us >= interval_us {
+            self.last_round_at_us = now_us;
             self.rounds += 1;
-            self.end_ping(now_us, &mut actions);
-            self.begin_ping(now_us, &mut actions);
-            self.ping_lost(&mut actions);
+            self.suspect_unanswered(now_us, &mut actions);
+            self.ping_next_member(now_us, &mut actions);
+            self.ping_dead_and_seeds(&mut actions);
             self.expire(now_us, &mut actions);
         }
         actions
     }
 
-    /// Takes a datagram of another member.
+    /// Handles a datagram from another member: merges its rows and answers it.
     pub fn receive(&mut self, from: SocketAddr, message: &GossipMessage, now_us: u64) -> Vec<Action> {
         let mut actions = Vec::new();
         self.merge_row(&message.from, now_us, &mut actions);
@@ -171,14 +172,14 @@
             }
             Payload::Ack { sequence } => self.receive_ack(*sequence, &mut actions),
             Payload::PingRequest { sequence, target } => {
-                self.ping_for(from, *sequence, target, now_us, &mut actions);
+                self.handle_ping_request(from, *sequence, target, now_us, &mut actions);
             }
             Payload::Announce => {}
         }
         actions
     }
 
-    /// Takes all rows of another process.
+    /// Merges all rows of another process.
     pub fn merge(&mut self, rows: &[MemberRow], now_us: u64) -> Vec<Action> {
         let mut actions = Vec::new();
         for row in rows {
@@ -188,6 +189,6 @@
     }
 }
 
-fn changed(row: &MemberRow) -> Action {
+fn state_changed(row: &MemberRow) -> Action {
     Action::Changed(MemberChange { name: row.identity.name.clone(), state: row.state })
 }
--- a/crates/pointvane-mesh/src/membership/dissemination.rs
+++ b/crates/pointvane-mesh/src/membership/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination: announcements, and changed rows that ride on every datagram.
+//! Dissemination: announcements, and changed rows piggybacked on every datagram.
 
 use {
     super::{Action, Membership},
@@ -12,32 +12,33 @@
     std::net::SocketAddr,
 };
 
-/// Changed rows in a datagram beside the sender's own; rows that do not fit are left for the next. Not measured.
+/// Maximum number of changed rows in a datagram, besides the sender's own and a row that the receiver must refute.
+/// Rows beyond it are left for later datagrams.
 const ROWS_PER_MESSAGE: usize = 12;
-/// Times that a changed row is sent, as a multiple of the logarithm of the fleet's size, as in SWIM.
+/// Number of times that a changed row is sent, as a multiple of the binary logarithm of the fleet's size (as in SWIM).
 const TRANSMISSIONS_FACTOR: u32 = 3;
 
 impl Membership {
-    /// Sends to a few random members at once.
+    /// Sends an announcement to a few random members that are not dead.
     pub fn announce(&mut self) -> Vec<Action> {
         let alive = self.members.values().filter(|member| member.row.state != VmState::Dead);
         let targets = alive.map(|member| member.row.control_address());
-        let targets = targets.choose_multiple(&mut self.rng, self.options.fan_out);
+        let targets = targets.choose_multiple(&mut self.rng, self.options.announce_fan_out);
         targets.into_iter().map(|to| self.send(to, Payload::Announce)).collect()
     }
 
-    /// Times that a changed row is sent.
+    /// Number of times that a changed row is sent.
     pub(super) fn transmissions(&self) -> u32 {
         let size = self.members.len() as u32 + 2;
         TRANSMISSIONS_FACTOR * (u32::BITS - size.leading_zeros())
     }
 
-    /// A datagram with rows that changed lately.
+    /// Creates a datagram with recently changed rows.
     pub(super) fn send(&mut self, to: SocketAddr, payload: Payload) -> Action {
         self.send_with(to, payload, None)
     }
 
-    /// The same, with another row first.
+    /// As [`Self::send`], with another row before the changed ones. Trailing rows are dropped until the datagram fits.
     pub(super) fn send_with(&mut self, to: SocketAddr, payload: Payload, first: Option<MemberRow>) -> Action {
         let mut changed: Vec<_> =
             self.members.values_mut().filter(|member| member.transmissions_left > 0).collect();
--- a/crates/pointvane-mesh/src/membership/expiry.rs
+++ b/crates/pointvane-mesh/src/membership/expiry.rs
@@ -1,7 +1,7 @@
-//! What time does to rows: suspects die, the dead are forgotten, the lost are tried again.
+//! Timeouts of rows: suspects are declared dead, dead members are removed, and dead members and seeds are pinged again.
 
 use {
-    super::{Action, Membership, changed},
+    super::{Action, Membership, state_changed},
     crate::{member::Member, message::Payload},
     pointvane_core::{US_PER_MS, VmState},
     rand::seq::IteratorRandom,
@@ -9,51 +9,52 @@
 };
 
 impl Membership {
-    /// Declares suspects dead after their time, and forgets the dead after theirs.
+    /// Declares suspects dead after the suspicion timeout, and removes dead members after the retention time.
     pub(super) fn expire(&mut self, now_us: u64, actions: &mut Vec<Action>) {
-        let suspect_us = self.options.suspect_ms * US_PER_MS;
-        let remember_us = self.options.remember_dead_ms * US_PER_MS;
+        let suspect_timeout_us = self.options.suspect_ms * US_PER_MS;
+        let dead_retention_us = self.options.dead_retention_ms * US_PER_MS;
         let transmissions = self.transmissions();
         for member in self.members.values_mut().filter(|member| member.row.state == VmState::Suspect) {
-            if now_us.saturating_sub(member.changed_at_us) >= suspect_us {
+            if now_us.saturating_sub(member.changed_at_us) >= suspect_timeout_us {
                 member.row.state = VmState::Dead;
                 member.changed_at_us = now_us;
                 member.transmissions_left = transmissions;
-                actions.push(changed(&member.row));
+                actions.push(state_changed(&member.row));
             }
         }
-        let forgotten = |member: &Member| {
-            member.row.state == VmState::Dead && now_us.saturating_sub(member.changed_at_us) >= remember_us
+        let is_expired = |member: &Member| {
+            member.row.state == VmState::Dead
+                && now_us.saturating_sub(member.changed_at_us) >= dead_retention_us
         };
-        self.members.retain(|_, member| !forgotten(member));
-        self.indirect_pings.retain(|ping| now_us.saturating_sub(ping.sent_at_us) < suspect_us);
+        self.members.retain(|_, member| !is_expired(member));
+        self.indirect_pings.retain(|ping| now_us.saturating_sub(ping.sent_at_us) < suspect_timeout_us);
     }
 
-    /// Starts all times anew after a pause of this process: the silence was its own.
-    pub(super) fn reset_times(&mut self, now_us: u64) {
+    /// Restarts all timers after a pause of this process, during which it could not receive answers.
+    pub(super) fn restart_timers(&mut self, now_us: u64) {
         self.pending_ping = None;
         for member in self.members.values_mut() {
             member.changed_at_us = now_us;
         }
     }
 
-    /// Pings some dead members and unknown seeds, so that a healed cut is noticed.
-    pub(super) fn ping_lost(&mut self, actions: &mut Vec<Action>) {
-        let alone = self.members.values().all(|member| member.row.state == VmState::Dead);
-        if !alone && !self.rounds.is_multiple_of(self.options.rounds_per_retry) {
+    /// Pings some dead members and seeds that are not live members, so that the end of a network partition is noticed.
+    pub(super) fn ping_dead_and_seeds(&mut self, actions: &mut Vec<Action>) {
+        let is_isolated = self.members.values().all(|member| member.row.state == VmState::Dead);
+        if !is_isolated && !self.rounds.is_multiple_of(self.options.reconnect_interval_rounds) {
             return;
         }
-        let lost = self.members.values().filter(|member| member.row.state == VmState::Dead);
-        let lost = lost.map(|member| member.row.control_address());
-        let mine = self.me.control_address();
-        let known = |seed: &SocketAddr| {
+        let dead = self.members.values().filter(|member| member.row.state == VmState::Dead);
+        let dead = dead.map(|member| member.row.control_address());
+        let own_address = self.me.control_address();
+        let is_alive = |seed: &SocketAddr| {
             let alive = self.members.values().filter(|member| member.row.state != VmState::Dead);
             alive.map(|member| member.row.control_address()).any(|address| address == *seed)
         };
-        let seeds = self.options.seeds.iter().copied().filter(|seed| *seed != mine && !known(seed));
-        let targets = lost.chain(seeds).choose_multiple(&mut self.rng, self.options.ping_requests);
+        let seeds = self.options.seeds.iter().copied().filter(|seed| *seed != own_address && !is_alive(seed));
+        let targets = dead.chain(seeds).choose_multiple(&mut self.rng, self.options.indirect_ping_targets);
         for to in targets {
-            // Sequence 0 belongs to no ping that is waited for, so its ack only brings rows.
+            // No pending ping has sequence 0, so its ack only delivers rows.
             actions.push(self.send(to, Payload::Ping { sequence: 0 }));
         }
     }
--- a/crates/pointvane-mesh/src/membership/merge.rs
+++ b/crates/pointvane-mesh/src/membership/merge.rs
@@ -1,13 +1,15 @@
-//! Merging of rows from others, and refutation of suspicions of this process.
+//! Merging of rows received from other members, and refutation of rows that declare this process suspect or dead.
 
 use {
-    super::{Action, Membership, changed},
+    super::{Action, Membership, state_changed},
     crate::member::{Member, MemberRow},
     pointvane_core::{Incarnation, VmState},
     std::cmp::Ordering,
 };
 
 impl Membership {
+    /// Merges a received row: adds an unknown member that is not dead, or replaces a row of lower precedence. A row about
+    /// this process is refuted if it is wrong.
     pub(super) fn merge_row(&mut self, row: &MemberRow, now_us: u64, actions: &mut Vec<Action>) {
         if row.identity.name == self.me.identity.name {
             if self.refute(row) {
@@ -22,12 +24,12 @@
                 let member =
                     Member { row: row.clone(), changed_at_us: now_us, transmissions_left: transmissions };
                 self.members.insert(row.identity.name.clone(), member);
-                actions.push(changed(row));
+                actions.push(state_changed(row));
             }
             Some(member) => match member.compare(row) {
                 Ordering::Less => {}
                 Ordering::Equal => {
-                    // Entry and stamp may change within a version; only the VM's own row brings newer ones.
+                    // The entry and the stamp may change within a version; newer ones arrive only with the VM's own row.
                     member.row.entry = row.entry;
                     member.row.stamp = member.row.stamp.max(row.stamp);
                 }
@@ -37,44 +39,46 @@
                     member.transmissions_left = transmissions;
                     if state_before != row.state {
                         member.changed_at_us = now_us;
-                        actions.push(changed(row));
+                        actions.push(state_changed(row));
                     }
                 }
             },
         }
     }
 
-    /// The row known of a sender that overrides its own; the sender has to learn of it to refute it.
+    /// Returns the stored row of a sender if it takes precedence over the sender's own row and contradicts it. It is sent
+    /// to the sender, which must know it to refute it.
     pub(super) fn row_to_refute(&self, own: &MemberRow) -> Option<MemberRow> {
         let member = self.members.get(&own.identity.name)?;
-        let of_a_later_life = member.row.identity.incarnation > own.identity.incarnation;
-        let contradicts = member.row.state != VmState::Live || of_a_later_life;
+        let is_later_incarnation = member.row.identity.incarnation > own.identity.incarnation;
+        let contradicts = member.row.state != VmState::Live || is_later_incarnation;
         let overrides = contradicts && member.compare(own) == Ordering::Less;
         overrides.then(|| member.row.clone())
     }
 
-    /// Refutes a wrong row of this process by a higher version of its own; true if there was need to.
+    /// Refutes a wrong row about this process by raising its own version or incarnation; returns whether it was wrong.
     pub(super) fn refute(&mut self, row: &MemberRow) -> bool {
         if row.identity.incarnation > self.me.identity.incarnation {
-            // An earlier life under a later wall clock: go on as a still later one, or all others would ignore this one.
+            // The wall clock, which incarnations are taken from, was set back before the restart. Without a higher
+            // incarnation, all other members would ignore this process.
             self.me.identity.incarnation = Incarnation(row.identity.incarnation.0 + 1);
             self.me.version += 1;
             return true;
         }
-        let same_life = row.identity.incarnation == self.me.identity.incarnation;
-        // An old suspicion is overridden already; death overrides every version of this life.
-        let wrong = match row.state {
+        let same_incarnation = row.identity.incarnation == self.me.identity.incarnation;
+        // A suspicion of a lower version is already overridden; `Dead` overrides every version of this incarnation.
+        let is_wrong = match row.state {
             VmState::Suspect => row.version >= self.me.version,
             VmState::Dead => true,
             VmState::Live | VmState::Leaving => false,
         };
-        if same_life && wrong {
+        if same_incarnation && is_wrong {
             self.me.version = self.me.version.max(row.version) + 1;
             if row.state == VmState::Dead {
-                // Death cannot be refuted by this life: go on as a later one.
+                // `Dead` cannot be refuted within an incarnation, so continue with the next one.
                 self.me.identity.incarnation.0 += 1;
             }
         }
-        same_life && wrong
+        same_incarnation && is_wrong
     }
 }
--- a/crates/pointvane-mesh/src/message.rs
+++ b/crates/pointvane-mesh/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the control processes.
+//! Messages between control processes or nodes.
 
 use {
     crate::{
@@ -9,68 +9,68 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The newest values a process holds.
+/// Stamps of the newest values that a process holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamps {
-    /// Of the configuration.
+    /// Stamp of the configuration.
     pub configuration: Stamp,
-    /// Of the platform's list of VMs.
+    /// Stamp of the platform's list of VMs.
     pub vm_list: Stamp,
 }
 
-/// One datagram between controls.
+/// A membership datagram between control processes or nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipMessage {
     /// The sender's own row.
     pub from: MemberRow,
-    /// What it holds.
+    /// Stamps of the values that the sender holds.
     pub stamps: Stamps,
-    /// What it wants.
+    /// Kind of the message.
     pub payload: Payload,
-    /// Rows of others that changed lately.
+    /// Recently changed rows of other members.
     pub rows: Vec<MemberRow>,
 }
 
-/// What a datagram wants.
+/// Kind of a membership datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Answer with [`Payload::Ack`].
+    /// Requests an [`Payload::Ack`].
     Ping {
-        /// Count of the sender's checks.
+        /// Sequence number of the sender's ping; 0 if the sender does not wait for the ack.
         sequence: u64,
     },
-    /// The answer to a ping.
+    /// Acknowledges a ping, or reports that the target of a ping-req acknowledged one.
     Ack {
-        /// The ping's count.
+        /// Sequence number of the ping or ping-req.
         sequence: u64,
     },
-    /// Ping that VM for me, and pass its ack on.
+    /// Ping-req: requests that the receiver pings another VM and forwards its ack.
     PingRequest {
-        /// Count of the sender's checks.
+        /// Sequence number of the sender's own ping of the target.
         sequence: u64,
         /// The VM to ping.
         target: Name,
     },
-    /// No answer is wanted; stamps and rows are the message.
+    /// Delivers stamps and rows only; not answered.
     Announce,
 }
 
-/// A question on a stream between controls.
+/// Request on a stream between control processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Send the configuration.
+    /// Requests the configuration.
     Configuration,
-    /// Send the list of VMs.
+    /// Requests the platform's list of VMs.
     VmList,
-    /// Exchange all rows.
+    /// Sends all rows and requests those of the receiver.
     Rows(Vec<MemberRow>),
 }
 
 /// The answer to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// A value, if one is held.
+    /// The requested value, if the process holds one.
     Value(Option<Stored>),
-    /// All rows.
+    /// All rows of the process.
     Rows(Vec<MemberRow>),
 }
