--- a/crates/pointvane-mesh/src/codec.rs
+++ b/crates/pointvane-mesh/src/codec.rs
@@ -1,7 +1,7 @@
 //! Encoding of messages: a version byte followed by `postcard` data, in datagrams and frames of limited size.
 //!
-//! A frame on a stream is a 4-byte big-endian length followed by that many bytes of an encoded message. In a packed
-//! frame, these bytes are compressed with deflate, and the length is that of the compressed data.
+//! A frame on a stream is a 4-byte big-endian length followed by that many bytes of an encoded message. In a
+//! packed frame, these bytes are compressed with deflate, and the length is that of the compressed data.
 
 use {
     miniz_oxide::{deflate::compress_to_vec, inflate::decompress_to_vec_with_limit},
@@ -59,10 +59,12 @@
     postcard::to_extend(message, vec![VERSION]).map_err(|_| CodecError::Malformed)
 }
 
-/// Decodes the message of a datagram or frame (without the frame's length prefix). Trailing bytes are an error.
+/// Decodes the message of a datagram or frame (without the frame's length prefix). Trailing bytes are an
+/// error.
 ///
 /// # Errors
-/// [`CodecError::Version`] for a message of another version, [`CodecError::Malformed`] for anything else that is not a `T`.
+/// [`CodecError::Version`] for a message of another version, [`CodecError::Malformed`] for anything else that
+/// is not a `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     let (version, body) = bytes.split_first().ok_or(CodecError::Malformed)?;
     if *version != VERSION {
@@ -103,7 +105,8 @@
     Ok(frame)
 }
 
-/// Decodes the message of a packed frame (without its length prefix), decompressing at most [`FRAME_LIMIT_BYTES`].
+/// Decodes the message of a packed frame (without its length prefix), decompressing at most
+/// [`FRAME_LIMIT_BYTES`].
 ///
 /// # Errors
 /// As [`decode`]; [`CodecError::Malformed`] also if decompression fails or exceeds the limit.
--- a/crates/pointvane-mesh/src/feed.rs
+++ b/crates/pointvane-mesh/src/feed.rs
@@ -1,4 +1,5 @@
-//! Messages between a VM's control process and its entry and locate processes, on a stream over the VM's own address.
+//! Messages between a VM's control process and its entry and locate processes, on a stream over the VM's own
+//! address.
 
 use {
     crate::{member::MemberRow, spread::Stored},
--- a/crates/pointvane-mesh/src/lib.rs
+++ b/crates/pointvane-mesh/src/lib.rs
@@ -1,8 +1,8 @@
 //! State machines for the state that pointvane's processes share: membership, configuration and load.
 //!
-//! The state machines perform no I/O, start no threads, read no clock and use no global random source: they take
-//! datagrams, values and the current time as input, and return actions. [`codec`] encodes messages into datagrams and
-//! frames of limited size, and decodes them.
+//! The state machines perform no I/O, start no threads, read no clock and use no global random source: they
+//! take datagrams, values and the current time as input, and return actions. [`codec`] encodes messages into
+//! datagrams and frames of limited size, and decodes them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/pointvane-mesh/src/load.rs
+++ b/crates/pointvane-mesh/src/load.rs
@@ -1,5 +1,5 @@
-//! Exchange of load between entry VMs (in the deployment form with three programs only): the datagram, its sender, which
-//! keeps to a bandwidth budget, and its receiver.
+//! Exchange of load between entry VMs (in the deployment form with three programs only): the datagram, its
+//! sender, which keeps to a bandwidth budget, and its receiver.
 
 use {
     crate::codec::{self, CodecError, UDP_HEAD_BYTES},
@@ -43,8 +43,8 @@
 
 /// A load datagram with the advertised limits.
 ///
-/// Without limits it is encoded as a plain [`LoadDatagram`], which entry VMs of releases without limits can decode; they
-/// drop messages that contain limits.
+/// Without limits it is encoded as a plain [`LoadDatagram`], which entry VMs of releases without limits can
+/// decode; they drop messages that contain limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadMessage {
     /// The load datagram.
@@ -130,8 +130,8 @@
         self.options.observations_max
     }
 
-    /// Number of peers, out of `peers`, that a round may be sent to now; 0 while the budget or the minimum interval
-    /// forbids a round.
+    /// Number of peers, out of `peers`, that a round may be sent to now; 0 while the budget or the minimum
+    /// interval forbids a round.
     pub fn round_size(&mut self, peers: usize, now_us: u64) -> usize {
         let rate = f64::from(self.options.bytes_per_s);
         let elapsed_us = now_us.saturating_sub(self.refilled_at_us);
@@ -145,8 +145,8 @@
         if too_early || self.budget_bytes < cost_bytes.min(burst_bytes) { 0 } else { recipients }
     }
 
-    /// Encodes the datagram of the next round and charges the budget for sending it to `peers` peers. Returns `None` if
-    /// it cannot be encoded, for example because it is too long; nothing is charged then.
+    /// Encodes the datagram of the next round and charges the budget for sending it to `peers` peers. Returns
+    /// `None` if it cannot be encoded, for example because it is too long; nothing is charged then.
     pub fn next_datagram(
         &mut self,
         revision: u64,
--- a/crates/pointvane-mesh/src/member.rs
+++ b/crates/pointvane-mesh/src/member.rs
@@ -29,7 +29,8 @@
     pub entry_port: u16,
     /// Membership state of the VM as its sender knows it.
     pub state: VmState,
-    /// Version of the row within the incarnation (SWIM's incarnation number); the VM refutes a suspicion by raising it.
+    /// Version of the row within the incarnation (SWIM's incarnation number); the VM refutes a suspicion by
+    /// raising it.
     pub version: u32,
     /// Its entry process; `None` while that is not running.
     pub entry: Option<EntryRow>,
@@ -54,7 +55,8 @@
         SocketAddr::new(self.identity.address, self.control_port)
     }
 
-    /// The row's precedence: by incarnation, then [`VmState::Dead`] over all other states, then by version, then by state.
+    /// The row's precedence: by incarnation, then [`VmState::Dead`] over all other states, then by version,
+    /// then by state.
     pub fn precedence(&self) -> Precedence {
         let state_rank = match self.state {
             VmState::Live => 0,
--- a/crates/pointvane-mesh/src/membership.rs
+++ b/crates/pointvane-mesh/src/membership.rs
@@ -1,10 +1,10 @@
-//! SWIM membership: pings of random members, indirect pings (ping-req), suspicion, refutation by a higher version within an
-//! incarnation, and dissemination by piggybacking on datagrams.
+//! SWIM membership: pings of random members, indirect pings (ping-req), suspicion, refutation by a higher
+//! version within an incarnation, and dissemination by piggybacking on datagrams.
 //!
-//! The state machine serves both deployment forms: it takes datagrams and the current time, returns [`Action`]s, and owns
-//! the rows of all members. A process that was paused does not suspect others for the time of its own pause. Dead members
-//! and seeds are pinged periodically, so that members find each other again after a network partition. Tests:
-//! `tests/membership.rs`, `tests/restart.rs`.
+//! The state machine serves both deployment forms: it takes datagrams and the current time, returns
+//! [`Action`]s, and owns the rows of all members. A process that was paused does not suspect others for the
+//! time of its own pause. Dead members and seeds are pinged periodically, so that members find each other
+//! again after a network partition. Tests: `tests/membership.rs`, `tests/restart.rs`.
 
 use {
     crate::{
@@ -84,7 +84,8 @@
 }
 
 impl Membership {
-    /// Creates the state of a process that knows no other member; `me` is its own row, `seed` that of its random numbers.
+    /// Creates the state of a process that knows no other member; `me` is its own row, `seed` that of its
+    /// random numbers.
     pub fn new(options: MembershipOptions, me: MemberRow, seed: u64, now_us: u64) -> Self {
         Self {
             options,
@@ -111,7 +112,8 @@
         std::iter::once(&self.me).chain(self.members.values().map(|member| &member.row))
     }
 
-    /// Sets the state of this VM's entry process. A change of its incarnation or of `leaving` raises the row's version.
+    /// Sets the state of this VM's entry process. A change of its incarnation or of `leaving` raises the
+    /// row's version.
     pub fn set_entry(&mut self, entry: Option<EntryRow>) {
         let (before, after) = (self.me.entry, entry);
         self.me.entry = entry;
--- a/crates/pointvane-mesh/src/membership/dissemination.rs
+++ b/crates/pointvane-mesh/src/membership/dissemination.rs
@@ -12,10 +12,11 @@
     std::net::SocketAddr,
 };
 
-/// Maximum number of changed rows in a datagram, besides the sender's own and a row that the receiver must refute.
-/// Rows beyond it are left for later datagrams.
+/// Maximum number of changed rows in a datagram, besides the sender's own and a row that the receiver must
+/// refute. Rows beyond it are left for later datagrams.
 const ROWS_PER_MESSAGE: usize = 12;
-/// Number of times that a changed row is sent, as a multiple of the binary logarithm of the fleet's size (as in SWIM).
+/// Number of times that a changed row is sent, as a multiple of the binary logarithm of the fleet's size (as
+/// in SWIM).
 const TRANSMISSIONS_FACTOR: u32 = 3;
 
 impl Membership {
@@ -38,7 +39,8 @@
         self.send_with(to, payload, None)
     }
 
-    /// As [`Self::send`], with another row before the changed ones. Trailing rows are dropped until the datagram fits.
+    /// As [`Self::send`], with another row before the changed ones. Trailing rows are dropped until the
+    /// datagram fits.
     pub(super) fn send_with(&mut self, to: SocketAddr, payload: Payload, first: Option<MemberRow>) -> Action {
         let mut changed: Vec<_> =
             self.members.values_mut().filter(|member| member.transmissions_left > 0).collect();
--- a/crates/pointvane-mesh/src/membership/expiry.rs
+++ b/crates/pointvane-mesh/src/membership/expiry.rs
@@ -1,4 +1,5 @@
-//! Timeouts of rows: suspects are declared dead, dead members are removed, and dead members and seeds are pinged again.
+//! Timeouts of rows: suspects are declared dead, dead members are removed, and dead members and seeds are
+//! pinged again.
 
 use {
     super::{Action, Membership, state_changed},
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Pings some dead members and seeds that are not live members, so that the end of a network partition is noticed.
+    /// Pings some dead members and seeds that are not live members, so that the end of a network partition is
+    /// noticed.
     pub(super) fn ping_dead_and_seeds(&mut self, actions: &mut Vec<Action>) {
         let is_isolated = self.members.values().all(|member| member.row.state == VmState::Dead);
         if !is_isolated && !self.rounds.is_multiple_of(self.options.reconnect_interval_rounds) {
--- a/crates/pointvane-mesh/src/membership/merge.rs
+++ b/crates/pointvane-mesh/src/membership/merge.rs
@@ -1,4 +1,5 @@
-//! Merging of rows received from other members, and refutation of rows that declare this process suspect or dead.
+//! Merging of rows received from other members, and refutation of rows that declare this process suspect or
+//! dead.
 
 use {
     super::{Action, Membership, state_changed},
@@ -8,8 +9,8 @@
 };
 
 impl Membership {
-    /// Merges a received row: adds an unknown member that is not dead, or replaces a row of lower precedence. A row about
-    /// this process is refuted if it is wrong.
+    /// Merges a received row: adds an unknown member that is not dead, or replaces a row of lower precedence.
+    /// A row about this process is refuted if it is wrong.
     pub(super) fn merge_row(&mut self, row: &MemberRow, now_us: u64, actions: &mut Vec<Action>) {
         if row.identity.name == self.me.identity.name {
             if self.refute(row) {
@@ -29,7 +30,8 @@
             Some(member) => match member.compare(row) {
                 Ordering::Less => {}
                 Ordering::Equal => {
-                    // The entry and the stamp may change within a version; newer ones arrive only with the VM's own row.
+                    // The entry and the stamp may change within a version; newer ones arrive only with the
+                    // VM's own row.
                     member.row.entry = row.entry;
                     member.row.stamp = member.row.stamp.max(row.stamp);
                 }
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Returns the stored row of a sender if it takes precedence over the sender's own row and contradicts it. It is sent
-    /// to the sender, which must know it to refute it.
+    /// Returns the stored row of a sender if it takes precedence over the sender's own row and contradicts
+    /// it. It is sent to the sender, which must know it to refute it.
     pub(super) fn row_to_refute(&self, own: &MemberRow) -> Option<MemberRow> {
         let member = self.members.get(&own.identity.name)?;
         let is_later_incarnation = member.row.identity.incarnation > own.identity.incarnation;
@@ -56,17 +58,19 @@
         overrides.then(|| member.row.clone())
     }
 
-    /// Refutes a wrong row about this process by raising its own version or incarnation; returns whether it was wrong.
+    /// Refutes a wrong row about this process by raising its own version or incarnation; returns whether it
+    /// was wrong.
     pub(super) fn refute(&mut self, row: &MemberRow) -> bool {
         if row.identity.incarnation > self.me.identity.incarnation {
-            // The wall clock, which incarnations are taken from, was set back before the restart. Without a higher
-            // incarnation, all other members would ignore this process.
+            // The wall clock, which incarnations are taken from, was set back before the restart. Without a
+            // higher incarnation, all other members would ignore this process.
             self.me.identity.incarnation = Incarnation(row.identity.incarnation.0 + 1);
             self.me.version += 1;
             return true;
         }
         let same_incarnation = row.identity.incarnation == self.me.identity.incarnation;
-        // A suspicion of a lower version is already overridden; `Dead` overrides every version of this incarnation.
+        // A suspicion of a lower version is already overridden; `Dead` overrides every version of this
+        // incarnation.
         let is_wrong = match row.state {
             VmState::Suspect => row.version >= self.me.version,
             VmState::Dead => true,
--- a/crates/pointvane-mesh/src/membership/ping.rs
+++ b/crates/pointvane-mesh/src/membership/ping.rs
@@ -27,7 +27,8 @@
         actions.push(self.send_with(to, Payload::Ping { sequence }, suspicion));
     }
 
-    /// Returns the next member to ping. All members are pinged once, in random order, before any is pinged again.
+    /// Returns the next member to ping. All members are pinged once, in random order, before any is pinged
+    /// again.
     fn next_target(&mut self) -> Option<Name> {
         if self.ping_queue.is_empty() {
             let alive = self.members.values().filter(|member| member.row.state != VmState::Dead);
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Marks the member whose ack did not arrive within the interval as suspect, or as dead if it was leaving.
+    /// Marks the member whose ack did not arrive within the interval as suspect, or as dead if it was
+    /// leaving.
     pub(super) fn suspect_unanswered(&mut self, now_us: u64, actions: &mut Vec<Action>) {
         let Some(ping) = self.pending_ping.take() else { return };
         let transmissions = self.transmissions();
@@ -110,8 +112,8 @@
             member.transmissions_left = transmissions;
             let row = member.row.clone();
             actions.push(state_changed(&row));
-            // The member is notified at once, since only it can refute the suspicion. Without this, 5 % datagram loss caused
-            // live VMs to be declared dead (docs/DESIGN.md, "Membership").
+            // The member is notified at once, since only it can refute the suspicion. Without this, 5 %
+            // datagram loss caused live VMs to be declared dead (docs/DESIGN.md, "Membership").
             actions.push(self.send_with(row.control_address(), Payload::Announce, Some(row.clone())));
         }
     }
--- a/crates/pointvane-mesh/src/spread.rs
+++ b/crates/pointvane-mesh/src/spread.rs
@@ -1,8 +1,9 @@
-//! Spread of one published value: what is held, what is newer, whom to ask.
+//! Replication of one published value between processes: the value in force, whether another one is newer,
+//! and which peer to fetch it from.
 //!
-//! Order: the operators' revision first, then the platform's own write count. So a platform restored from an
-//! old copy (its count goes back) cannot bring back an old revision, and of two writes with one revision the
-//! later one wins everywhere.
+//! Values are ordered by the operators' revision, then by the platform's write count. A platform that was
+//! restored from an old backup, with a lower write count, therefore can't bring back an old revision, and of
+//! two writes with the same revision the later one wins in all processes.
 
 use {
     pointvane_core::US_PER_MS,
@@ -10,79 +11,80 @@
     std::net::SocketAddr,
 };
 
-/// Place of a value in the order of values.
+/// Version of a published value; values are ordered by it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stamp {
-    /// The operators' revision; 0 for values that have none.
+    /// The operators' revision; 0 for values without one.
     pub revision: u64,
-    /// The platform's write count.
+    /// The platform's write count when the value was written.
     pub index: u64,
 }
 
-/// A value with its place.
+/// A published value with its stamp.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
-    /// Its place.
+    /// The value's stamp.
     pub stamp: Stamp,
-    /// Its bytes as published.
+    /// The value's bytes as published.
     pub value: Vec<u8>,
 }
 
-/// A value that came from somewhere, already checked as a whole.
+/// A received value, by its source. The value has been validated already.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// Read from the platform.
+    /// The value was read from the platform.
     Platform(Stored),
-    /// Fetched from a peer.
+    /// The value was fetched from a peer.
     Peer(Stored),
 }
 
-/// What became of an offer.
+/// Result of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferVerdict {
-    /// It is in force from now on.
+    /// The value is in force from now on.
     Accepted,
-    /// It is the one in force.
+    /// The value has the stamp of the one in force.
     Same,
-    /// It is older than the one in force, and refused.
+    /// The value is older than the one in force, and was rejected.
     Older,
-    /// It came from the platform before the peers were queried, and waits.
+    /// The value came from the platform before the peers were queried, and is deferred until then.
     Held,
 }
 
-/// What the shell should do.
+/// An action for the caller of the state machine to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpreadAction {
     /// Fetch the value from this peer.
     Fetch(SocketAddr),
 }
 
-/// How long a new process waits for its peers before it trusts the platform alone.
-const ASK_PEERS_US: u64 = 1_500 * US_PER_MS;
-/// Time after which an unanswered fetch may be repeated.
-const FETCH_AGAIN_US: u64 = 300 * US_PER_MS;
+/// How long a new process waits for its peers before it accepts the platform's value alone, in microseconds.
+const PEER_QUERY_TIMEOUT_US: u64 = 1_500 * US_PER_MS;
+/// Time after which an unanswered fetch may be retried, in microseconds.
+const FETCH_RETRY_US: u64 = 300 * US_PER_MS;
 
-/// The spread of one value in one process.
+/// Replication state of one value in one process.
 #[derive(Debug)]
 pub struct Spread {
     held: Option<Stored>,
-    waiting: Option<Stored>,
-    wanted: Stamp,
-    fetched_at_us: Option<u64>,
+    deferred: Option<Stored>,
+    requested: Stamp,
+    fetch_started_at_us: Option<u64>,
     started_at_us: u64,
-    peers_asked: bool,
+    peers_queried: bool,
 }
 
 impl Spread {
-    /// Nothing held; peers are queried before the platform is trusted.
+    /// Creates the state of a new process without a value, which queries its peers before it accepts the
+    /// platform's value.
     pub fn new(now_us: u64) -> Self {
         Self {
             held: None,
-            waiting: None,
-            wanted: Stamp::default(),
-            fetched_at_us: None,
+            deferred: None,
+            requested: Stamp::default(),
+            fetch_started_at_us: None,
             started_at_us: now_us,
-            peers_asked: false,
+            peers_queried: false,
         }
     }
 
@@ -91,65 +93,68 @@
         self.held.as_ref()
     }
 
-    /// The stamp in force.
+    /// The stamp of the value in force; the default if there is none.
     pub fn stamp(&self) -> Stamp {
         self.held.as_ref().map_or_else(Stamp::default, |stored| stored.stamp)
     }
 
-    /// Takes note of what a peer holds; `from` is where the value can be fetched.
+    /// Handles the stamp of the value that a peer holds, and returns a fetch if it is newer than the value in
+    /// force and not being fetched already. `from` is the address that the value can be fetched from.
     pub fn heard(&mut self, stamp: Stamp, from: SocketAddr, now_us: u64) -> Option<SpreadAction> {
         if stamp <= self.stamp() {
             return None;
         }
-        let under_way = self.fetched_at_us.is_some_and(|at_us| now_us.saturating_sub(at_us) < FETCH_AGAIN_US);
-        if under_way && stamp <= self.wanted {
+        let is_fetching =
+            self.fetch_started_at_us.is_some_and(|at_us| now_us.saturating_sub(at_us) < FETCH_RETRY_US);
+        if is_fetching && stamp <= self.requested {
             return None;
         }
-        self.wanted = stamp;
-        self.fetched_at_us = Some(now_us);
+        self.requested = stamp;
+        self.fetch_started_at_us = Some(now_us);
         Some(SpreadAction::Fetch(from))
     }
 
-    /// Notes that enough peers answered what they hold.
+    /// Records that enough peers have answered, and applies a deferred value; returns its result if there was
+    /// one.
     pub fn peers_answered(&mut self) -> Option<OfferVerdict> {
-        self.peers_asked = true;
-        self.release()
+        self.peers_queried = true;
+        self.apply_deferred()
     }
 
-    /// Takes a value.
+    /// Applies a received value, or defers it if it came from the platform before the peers were queried.
     pub fn offer(&mut self, offer: Offer, now_us: u64) -> OfferVerdict {
         match offer {
-            Offer::Peer(stored) => self.take(stored),
-            Offer::Platform(stored) if self.trusts_platform(now_us) => self.take(stored),
+            Offer::Peer(stored) => self.apply(stored),
+            Offer::Platform(stored) if self.accepts_platform(now_us) => self.apply(stored),
             Offer::Platform(stored) => {
-                self.waiting = Some(stored);
+                self.deferred = Some(stored);
                 OfferVerdict::Held
             }
         }
     }
 
-    /// Releases a held value once the peers had their time.
+    /// Applies a deferred value once the time to wait for peers is over; returns its result if there was one.
     pub fn tick(&mut self, now_us: u64) -> Option<OfferVerdict> {
-        if self.trusts_platform(now_us) { self.release() } else { None }
+        if self.accepts_platform(now_us) { self.apply_deferred() } else { None }
     }
 
-    fn trusts_platform(&self, now_us: u64) -> bool {
-        self.peers_asked || now_us.saturating_sub(self.started_at_us) >= ASK_PEERS_US
+    fn accepts_platform(&self, now_us: u64) -> bool {
+        self.peers_queried || now_us.saturating_sub(self.started_at_us) >= PEER_QUERY_TIMEOUT_US
     }
 
-    fn release(&mut self) -> Option<OfferVerdict> {
-        let stored = self.waiting.take()?;
-        Some(self.take(stored))
+    fn apply_deferred(&mut self) -> Option<OfferVerdict> {
+        let stored = self.deferred.take()?;
+        Some(self.apply(stored))
     }
 
-    fn take(&mut self, stored: Stored) -> OfferVerdict {
+    fn apply(&mut self, stored: Stored) -> OfferVerdict {
         let held = self.held.as_ref().map(|held| held.stamp);
         match held.map_or(std::cmp::Ordering::Greater, |held| stored.stamp.cmp(&held)) {
             std::cmp::Ordering::Less => OfferVerdict::Older,
             std::cmp::Ordering::Equal => OfferVerdict::Same,
             std::cmp::Ordering::Greater => {
                 self.held = Some(stored);
-                self.fetched_at_us = None;
+                self.fetch_started_at_us = None;
                 OfferVerdict::Accepted
             }
         }
--- a/crates/pointvane-mesh/tests/many/mod.rs
+++ b/crates/pointvane-mesh/tests/many/mod.rs
@@ -1,7 +1,7 @@
-//! Many membership machines in one process with time given, for counting what they send.
+//! Simulation of many membership state machines in one process on a simulated clock.
 //!
-//! No network is modelled but loss, cuts and a fixed delay of one tick: this counts messages and rounds, and is
-//! no measure of time.
+//! The simulated network has loss, partitions and a fixed delay of one tick. The simulation counts messages
+//! and rounds; it says nothing about delays on a real network.
 
 use {
     pointvane_core::{Incarnation, Name, VmIdentity, VmState},
@@ -11,57 +11,58 @@
 };
 
 const PORT: u16 = 7_001;
-/// Time of one tick, in microseconds.
+/// Duration of one tick, in microseconds.
 pub const TICK_US: u64 = 50_000;
 
-/// Many membership machines.
-pub struct MeshRun {
+/// Simulated fleet of membership state machines.
+pub struct MeshSimulation {
     nodes: Vec<Membership>,
-    up: Vec<bool>,
-    /// Cut: machines of different sides do not hear each other.
-    side: Vec<u8>,
-    under_way: Vec<(usize, SocketAddr, GossipMessage)>,
+    running: Vec<bool>,
+    /// Partition of each node; nodes of different partitions do not receive each other's datagrams.
+    partition: Vec<u8>,
+    in_flight: Vec<(usize, SocketAddr, GossipMessage)>,
     loss: f64,
     rng: StdRng,
     now_us: u64,
-    /// Bytes sent so far, IP and UDP heads included.
+    /// Bytes sent so far, IP and UDP headers included.
     pub bytes: u64,
 }
 
-impl MeshRun {
-    /// Machines that all know each other.
+impl MeshSimulation {
+    /// Creates nodes that all know each other; `loss` is the share of datagrams that are lost.
     pub fn new(count: usize, loss: f64, seed: u64) -> Self {
         let rows: Vec<_> = (0..count).map(|number| row(number, 1)).collect();
-        let mut run = Self {
+        let mut simulation = Self {
             nodes: Vec::new(),
-            up: vec![true; count],
-            side: vec![0; count],
-            under_way: Vec::new(),
+            running: vec![true; count],
+            partition: vec![0; count],
+            in_flight: Vec::new(),
             loss,
             rng: StdRng::seed_from_u64(seed),
             now_us: TICK_US,
             bytes: 0,
         };
         for number in 0..count {
-            let mut node = Membership::new(options(), rows[number].clone(), seed + number as u64, run.now_us);
-            node.merge(&rows, run.now_us);
-            run.nodes.push(node);
+            let mut node =
+                Membership::new(options(), rows[number].clone(), seed + number as u64, simulation.now_us);
+            node.merge(&rows, simulation.now_us);
+            simulation.nodes.push(node);
         }
-        run
+        simulation
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for a number of ticks.
     pub fn run_ticks(&mut self, ticks: usize) {
         for _ in 0..ticks {
             self.now_us += TICK_US;
-            for (to, from, message) in std::mem::take(&mut self.under_way) {
-                if self.up[to] {
+            for (to, from, message) in std::mem::take(&mut self.in_flight) {
+                if self.running[to] {
                     let actions = self.nodes[to].receive(from, &message, self.now_us);
                     self.send(to, actions);
                 }
             }
             for node in 0..self.nodes.len() {
-                if self.up[node] {
+                if self.running[node] {
                     let actions = self.nodes[node].tick(self.now_us);
                     self.send(node, actions);
                 }
@@ -73,41 +74,42 @@
         for action in actions {
             let Action::Send { to, message } = action else { continue };
             self.bytes += (codec::encode(&*message).map_or(0, |b| b.len()) + codec::UDP_HEAD_BYTES) as u64;
-            let target = number_of(to);
-            if self.side[from] == self.side[target] && self.rng.random::<f64>() >= self.loss {
-                self.under_way.push((target, address(from), *message));
+            let target = node_of(to);
+            if self.partition[from] == self.partition[target] && self.rng.random::<f64>() >= self.loss {
+                self.in_flight.push((target, address(from), *message));
             }
         }
     }
 
-    /// Takes a machine down or up again; when it comes up it goes on where it stopped, as after a freeze.
-    pub fn set_up(&mut self, node: usize, up: bool) {
-        self.up[node] = up;
+    /// Stops or resumes a node. A resumed node continues with its old state, as a process after a pause.
+    pub fn set_running(&mut self, node: usize, running: bool) {
+        self.running[node] = running;
     }
 
-    /// Puts a machine on a side of a cut.
-    pub fn set_side(&mut self, node: usize, side: u8) {
-        self.side[node] = side;
+    /// Moves a node to a network partition.
+    pub fn set_partition(&mut self, node: usize, partition: u8) {
+        self.partition[node] = partition;
     }
 
-    /// Gives one machine a new configuration.
+    /// Gives one node a new configuration.
     pub fn set_revision(&mut self, node: usize, revision: u64) {
         let configuration = Stamp { revision, index: revision };
         let actions = self.nodes[node].set_stamps(Stamps { configuration, vm_list: Stamp::default() });
         self.send(node, actions);
     }
 
-    /// How many of the machines that are up are believed to be in this state by one of them.
-    pub fn believed(&self, by: usize, state: VmState) -> usize {
+    /// Number of members, itself included, that node `by` knows in this state.
+    pub fn members_in_state(&self, by: usize, state: VmState) -> usize {
         self.nodes[by].rows().filter(|row| row.state == state).count()
     }
 
-    /// Stands in for the fetching of values: each machine that heard of a revision has it. Gives how many have it.
-    pub fn fetch_heard(&mut self, revision: u64) -> usize {
+    /// Simulates fetches of values: each running node that knows of a revision gets it. Returns how many
+    /// nodes have it.
+    pub fn fetch_known_revision(&mut self, revision: u64) -> usize {
         for node in 0..self.nodes.len() {
-            let heard = self.nodes[node].rows().any(|row| row.stamp.revision >= revision);
+            let is_known = self.nodes[node].rows().any(|row| row.stamp.revision >= revision);
             let has = self.nodes[node].me().stamp.revision >= revision;
-            if self.up[node] && heard && !has {
+            if self.running[node] && is_known && !has {
                 self.set_revision(node, revision);
             }
         }
@@ -143,7 +145,7 @@
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, high, low)), PORT)
 }
 
-fn number_of(address: SocketAddr) -> usize {
+fn node_of(address: SocketAddr) -> usize {
     let IpAddr::V4(ip) = address.ip() else { unreachable!("addresses here are IPv4") };
     (u32::from(ip) & 0xffff) as usize - 1
 }
--- a/crates/pointvane-mesh/tests/membership.rs
+++ b/crates/pointvane-mesh/tests/membership.rs
@@ -1,10 +1,10 @@
-//! Membership among many machines with time given: failures, freezes, cuts, loss, and what it costs.
+//! Membership of simulated fleets: failures, pauses, network partitions, datagram loss, and bandwidth.
 
 mod many;
 
 use {
     googletest::prelude::*,
-    many::{MeshRun, TICK_US},
+    many::{MeshSimulation, TICK_US},
     pointvane_core::VmState,
 };
 
@@ -12,50 +12,55 @@
 const CONTROL_BYTES_PER_S: u64 = 18_000;
 
 #[gtest]
-fn a_dead_vm_is_dead_to_all_within_seconds_and_nobody_else_is() {
+fn all_members_declare_a_stopped_vm_dead_within_seconds_and_no_other() {
     for seed in 0..20 {
-        let mut run = MeshRun::new(17, 0.05, seed);
-        run.run_ticks(2 * TICKS_PER_S);
-        run.set_up(3, false);
-        // Lost datagrams may raise a suspicion, which is then refuted; they never kill anybody.
+        let mut simulation = MeshSimulation::new(17, 0.05, seed);
+        simulation.run_ticks(2 * TICKS_PER_S);
+        simulation.set_running(3, false);
+        // Lost datagrams may cause a suspicion, which is refuted; no running VM is declared dead.
         for _ in 0..15 {
-            run.run_ticks(TICKS_PER_S);
-            let dead = (0..17).filter(|&by| by != 3).map(|by| run.believed(by, VmState::Dead)).max();
+            simulation.run_ticks(TICKS_PER_S);
+            let dead =
+                (0..17).filter(|&by| by != 3).map(|by| simulation.members_in_state(by, VmState::Dead)).max();
             expect_that!(dead, some(le(1)), "seed {seed}");
         }
         for by in (0..17).filter(|&by| by != 3) {
-            expect_that!(run.believed(by, VmState::Dead), eq(1), "seed {seed}, by {by}");
-            let there = run.believed(by, VmState::Live) + run.believed(by, VmState::Suspect);
-            expect_that!(there, eq(16), "seed {seed}, by {by}");
+            expect_that!(simulation.members_in_state(by, VmState::Dead), eq(1), "seed {seed}, by {by}");
+            let live_or_suspect = simulation.members_in_state(by, VmState::Live)
+                + simulation.members_in_state(by, VmState::Suspect);
+            expect_that!(live_or_suspect, eq(16), "seed {seed}, by {by}");
         }
     }
 }
 
 #[gtest]
-fn a_vm_that_was_frozen_holds_its_own_silence_against_nobody() {
-    let mut run = MeshRun::new(17, 0.0, 1);
-    run.run_ticks(2 * TICKS_PER_S);
-    run.set_up(5, false);
-    run.run_ticks(8 * TICKS_PER_S);
-    run.set_up(5, true);
-    run.run_ticks(1);
-    expect_that!(run.believed(5, VmState::Live), eq(17));
-    // And it is taken back by the others, though they had it for dead.
-    run.run_ticks(20 * TICKS_PER_S);
-    expect_that!((0..17).map(|by| run.believed(by, VmState::Live)).collect::<Vec<_>>(), each(eq(&17)));
+fn a_resumed_vm_suspects_no_member_for_the_time_of_its_own_pause() {
+    let mut simulation = MeshSimulation::new(17, 0.0, 1);
+    simulation.run_ticks(2 * TICKS_PER_S);
+    simulation.set_running(5, false);
+    simulation.run_ticks(8 * TICKS_PER_S);
+    simulation.set_running(5, true);
+    simulation.run_ticks(1);
+    expect_that!(simulation.members_in_state(5, VmState::Live), eq(17));
+    // The other VMs had declared it dead, and accept it again.
+    simulation.run_ticks(20 * TICKS_PER_S);
+    expect_that!(
+        (0..17).map(|by| simulation.members_in_state(by, VmState::Live)).collect::<Vec<_>>(),
+        each(eq(&17))
+    );
 }
 
 #[gtest]
-fn a_cut_heals() {
+fn members_rejoin_after_a_network_partition() {
     for seed in 0..10 {
-        let mut run = MeshRun::new(12, 0.0, seed);
-        (0..4).for_each(|node| run.set_side(node, 1));
-        run.run_ticks(20 * TICKS_PER_S);
-        expect_that!(run.believed(0, VmState::Live), eq(4), "seed {seed}");
-        expect_that!(run.believed(11, VmState::Live), eq(8), "seed {seed}");
-        (0..4).for_each(|node| run.set_side(node, 0));
-        run.run_ticks(40 * TICKS_PER_S);
-        let live: Vec<_> = (0..12).map(|by| run.believed(by, VmState::Live)).collect();
+        let mut simulation = MeshSimulation::new(12, 0.0, seed);
+        (0..4).for_each(|node| simulation.set_partition(node, 1));
+        simulation.run_ticks(20 * TICKS_PER_S);
+        expect_that!(simulation.members_in_state(0, VmState::Live), eq(4), "seed {seed}");
+        expect_that!(simulation.members_in_state(11, VmState::Live), eq(8), "seed {seed}");
+        (0..4).for_each(|node| simulation.set_partition(node, 0));
+        simulation.run_ticks(40 * TICKS_PER_S);
+        let live: Vec<_> = (0..12).map(|by| simulation.members_in_state(by, VmState::Live)).collect();
         expect_that!(live, each(eq(&12)), "seed {seed}");
     }
 }
@@ -63,26 +68,26 @@
 #[gtest]
 fn a_revision_reaches_all_within_the_bound_though_datagrams_are_lost() {
     for (count, seed) in [(17, 1), (17, 2), (170, 3), (170, 4)] {
-        let mut run = MeshRun::new(count, 0.05, seed);
-        run.run_ticks(TICKS_PER_S);
-        run.set_revision(0, 5);
+        let mut simulation = MeshSimulation::new(count, 0.05, seed);
+        simulation.run_ticks(TICKS_PER_S);
+        simulation.set_revision(0, 5);
         let mut ticks = 0;
-        while run.fetch_heard(5) < count {
-            run.run_ticks(1);
+        while simulation.fetch_known_revision(5) < count {
+            simulation.run_ticks(1);
             ticks += 1;
         }
-        expect_that!(ticks, le(3 * TICKS_PER_S), "{count} machines, seed {seed}");
+        expect_that!(ticks, le(3 * TICKS_PER_S), "{count} nodes, seed {seed}");
     }
 }
 
 #[gtest]
 fn gossip_stays_within_a_tenth_of_the_budget_at_rest() {
     for count in [17, 170] {
-        let mut run = MeshRun::new(count, 0.0, 1);
-        run.run_ticks(10 * TICKS_PER_S);
-        let before = run.bytes;
-        run.run_ticks(30 * TICKS_PER_S);
-        let per_node_per_s = (run.bytes - before) / 30 / count as u64;
-        expect_that!(per_node_per_s, le(CONTROL_BYTES_PER_S / 10), "{count} machines");
+        let mut simulation = MeshSimulation::new(count, 0.0, 1);
+        simulation.run_ticks(10 * TICKS_PER_S);
+        let before = simulation.bytes;
+        simulation.run_ticks(30 * TICKS_PER_S);
+        let per_node_per_s = (simulation.bytes - before) / 30 / count as u64;
+        expect_that!(per_node_per_s, le(CONTROL_BYTES_PER_S / 10), "{count} nodes");
     }
 }
--- a/crates/pointvane-mesh/tests/messages.rs
+++ b/crates/pointvane-mesh/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Spread of values, load datagrams and the codec against late, repeated and rubbish messages.
+//! Replication of values, load datagrams and the codec with late, repeated and malformed messages.
 
 use {
     googletest::prelude::*,
@@ -33,21 +33,21 @@
 }
 
 #[gtest]
-fn a_new_process_asks_its_peers_before_it_trusts_the_platform() {
+fn a_new_process_queries_its_peers_before_it_accepts_the_platforms_value() {
     let mut spread = Spread::new(0);
     expect_that!(spread.offer(Offer::Platform(stored(1, 1)), 10), eq(OfferVerdict::Held));
     expect_that!(spread.offer(Offer::Peer(stored(3, 3)), 20), eq(OfferVerdict::Accepted));
     expect_that!(spread.peers_answered(), some(eq(OfferVerdict::Older)));
     expect_that!(spread.stamp().revision, eq(3));
-    // With no peer to be had, the platform is trusted after a while.
-    let mut alone = Spread::new(0);
-    alone.offer(Offer::Platform(stored(1, 1)), 10);
-    expect_that!(alone.tick(S_US), none());
-    expect_that!(alone.tick(2 * S_US), some(eq(OfferVerdict::Accepted)));
+    // If no peer answers, the platform's value is accepted after a timeout.
+    let mut without_peers = Spread::new(0);
+    without_peers.offer(Offer::Platform(stored(1, 1)), 10);
+    expect_that!(without_peers.tick(S_US), none());
+    expect_that!(without_peers.tick(2 * S_US), some(eq(OfferVerdict::Accepted)));
 }
 
 #[gtest]
-fn a_newer_word_is_fetched_once_and_again_if_unanswered() {
+fn a_newer_stamp_is_fetched_once_and_retried_if_unanswered() {
     let mut spread = Spread::new(0);
     let stamp = Stamp { revision: 2, index: 2 };
     expect_that!(spread.heard(stamp, peer(), S_US), some(eq(SpreadAction::Fetch(peer()))));
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn late_repeated_and_earlier_lives_datagrams_are_dropped() {
+fn late_and_repeated_datagrams_and_those_of_earlier_incarnations_are_dropped() {
     let from: IpAddr = "10.0.0.2".parse().unwrap();
     let mut receiver = LoadReceiver::default();
     expect_that!(receiver.receive(from, &datagram(5, 1)), err(eq(&Rejected::Stranger)));
@@ -96,7 +96,8 @@
             let datagram = sender.next_datagram(1, 9, (services, Vec::new()), round, now_us).unwrap();
             bytes += (round * (datagram.len() + codec::UDP_HEAD_BYTES)) as u64;
         }
-        // What may be saved up, a fifth of a second's worth, and one round foreseen too small.
+        // Allows for the token bucket (a fifth of a second's budget) and for one round of underestimated
+        // size.
         expect_that!(bytes, le(budget * 10 + budget / 5 + 32 * 200), "{peers} peers");
         expect_that!(bytes, ge(budget * 5), "{peers} peers");
     }
@@ -106,7 +107,7 @@
     #![proptest_config(ProptestConfig { cases: 2_000, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn rubbish_is_an_error_and_never_a_panic(mut bytes in vec(any::<u8>(), 0..200)) {
+    fn malformed_bytes_are_an_error_and_never_a_panic(mut bytes in vec(any::<u8>(), 0..200)) {
         if let Some(version) = bytes.first_mut() {
             *version = codec::VERSION;
         }
@@ -117,7 +118,7 @@
     }
 
     #[test]
-    fn no_order_of_offers_takes_a_process_back(stamps in vec((1..6_u64, 1..6_u64, any::<bool>()), 1..40)) {
+    fn no_order_of_offers_makes_a_process_revert_to_an_older_value(stamps in vec((1..6_u64, 1..6_u64, any::<bool>()), 1..40)) {
         let mut spread = Spread::new(0);
         let mut held = Stamp::default();
         for (revision, index, from_peer) in stamps {
--- a/crates/pointvane-mesh/tests/model.rs
+++ b/crates/pointvane-mesh/tests/model.rs
@@ -1,33 +1,35 @@
-//! A small specification of keys and of configuration spread, searched to the end of its bounded state space.
+//! Models of the request-key protocol and of configuration replication, checked by exhaustive search of their
+//! bounded state spaces.
 //!
-//! Dropping a guard from the specification must lead to a broken promise, which shows that the search sees it.
+//! For each guard of a model, the search must find a violated invariant once the guard is dropped, which
+//! shows that it can detect violations.
 
 use {googletest::prelude::*, pathfinding::prelude::bfs, std::cell::Cell};
 
-/// Guards of the key protocol that the specification can drop.
+/// Guards of the key protocol; the model can drop each of them.
 #[derive(Clone, Copy)]
 struct KeyGuards {
-    /// An entry runs only keys of its own life.
-    own_life: bool,
-    /// A key said to be not run is fenced.
+    /// An entry runs only keys of its own incarnation.
+    own_incarnation: bool,
+    /// A key that was reported as not run is fenced, so that a later copy does not run.
     fence: bool,
-    /// A key that is running or ran is remembered.
-    memory: bool,
+    /// A key that has run stays recorded.
+    record: bool,
 }
 
-const ALL: KeyGuards = KeyGuards { own_life: true, fence: true, memory: true };
-/// Copies of the request that the caller, or an entry that passes it on, may send.
+const ALL: KeyGuards = KeyGuards { own_incarnation: true, fence: true, record: true };
+/// Number of copies of the request that the caller, or an entry that forwards it, may send.
 const COPIES: u8 = 3;
-/// Lives of the owning entry.
-const LIVES: u8 = 3;
-/// Pauses of the owning entry.
+/// Number of incarnations of the owning entry.
+const INCARNATIONS: u8 = 3;
+/// Number of pauses of the owning entry.
 const PAUSES: u8 = 2;
 
-/// What the owning entry remembers of the one key.
+/// The owning entry's record of the key; the model has a single key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-enum Memory {
+enum Record {
     Nothing,
-    InHand,
+    Accepted,
     Running,
     Ran,
     Fenced,
@@ -35,35 +37,36 @@
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct KeyState {
-    /// Copies not yet sent, and those under way to the owner's address.
+    /// Copies not sent yet.
     unsent: u8,
-    under_way: u8,
-    life: u8,
+    /// Copies in flight to the owner's address.
+    in_flight: u8,
+    incarnation: u8,
     paused: bool,
     pauses: u8,
-    /// The deadline of the copy in hand has passed.
+    /// Whether the deadline of the accepted copy has passed.
     late: bool,
-    memory: Memory,
+    record: Record,
     runs: u8,
-    said_not_run: bool,
+    reported_not_run: bool,
 }
 
 fn key_start() -> KeyState {
     KeyState {
         unsent: COPIES,
-        under_way: 0,
-        life: 1,
+        in_flight: 0,
+        incarnation: 1,
         paused: false,
         pauses: PAUSES,
         late: false,
-        memory: Memory::Nothing,
+        record: Record::Nothing,
         runs: 0,
-        said_not_run: false,
+        reported_not_run: false,
     }
 }
 
-/// All states one step after this one.
-fn key_steps(state: &KeyState, guards: KeyGuards) -> Vec<KeyState> {
+/// Returns all successors of a state.
+fn key_successors(state: &KeyState, guards: KeyGuards) -> Vec<KeyState> {
     let mut next = Vec::new();
     let mut step = |change: &dyn Fn(&mut KeyState)| {
         let mut changed = state.clone();
@@ -71,14 +74,16 @@
         next.push(changed);
     };
     if state.unsent > 0 {
-        step(&|s| (s.unsent, s.under_way) = (s.unsent - 1, s.under_way + 1));
+        step(&|s| (s.unsent, s.in_flight) = (s.unsent - 1, s.in_flight + 1));
     }
-    if state.under_way > 0 {
+    if state.in_flight > 0 {
         // A copy may also be lost.
-        step(&|s| s.under_way -= 1);
+        step(&|s| s.in_flight -= 1);
     }
-    if state.life < LIVES {
-        step(&|s| (s.life, s.memory, s.paused, s.late) = (s.life + 1, Memory::Nothing, false, false));
+    if state.incarnation < INCARNATIONS {
+        step(&|s| {
+            (s.incarnation, s.record, s.paused, s.late) = (s.incarnation + 1, Record::Nothing, false, false)
+        });
     }
     if state.paused {
         step(&|s| s.paused = false);
@@ -88,73 +93,74 @@
     if state.pauses > 0 {
         step(&|s| (s.paused, s.pauses) = (true, s.pauses - 1));
     }
-    if state.under_way > 0 {
+    if state.in_flight > 0 {
         step(&|s| receive(s, guards));
     }
-    match state.memory {
-        Memory::InHand if state.late => step(&|s| {
-            s.said_not_run = true;
-            s.memory = if guards.fence { Memory::Fenced } else { Memory::Nothing };
+    match state.record {
+        Record::Accepted if state.late => step(&|s| {
+            s.reported_not_run = true;
+            s.record = if guards.fence { Record::Fenced } else { Record::Nothing };
         }),
-        Memory::InHand => step(&|s| (s.memory, s.runs) = (Memory::Running, s.runs + 1)),
-        Memory::Running => step(&|s| s.memory = if guards.memory { Memory::Ran } else { Memory::Nothing }),
-        Memory::Nothing | Memory::Ran | Memory::Fenced => {}
+        Record::Accepted => step(&|s| (s.record, s.runs) = (Record::Running, s.runs + 1)),
+        Record::Running => step(&|s| s.record = if guards.record { Record::Ran } else { Record::Nothing }),
+        Record::Nothing | Record::Ran | Record::Fenced => {}
     }
     next
 }
 
-/// The owner reads a copy. The key was made for its first life.
+/// The owner receives a copy. The key belongs to its first incarnation.
 fn receive(state: &mut KeyState, guards: KeyGuards) {
-    state.under_way -= 1;
-    let mine = state.life == 1 || !guards.own_life;
-    match state.memory {
-        Memory::Nothing if mine => (state.memory, state.late) = (Memory::InHand, false),
-        Memory::Fenced => state.said_not_run = true,
+    state.in_flight -= 1;
+    let is_own = state.incarnation == 1 || !guards.own_incarnation;
+    match state.record {
+        Record::Nothing if is_own => (state.record, state.late) = (Record::Accepted, false),
+        Record::Fenced => state.reported_not_run = true,
         _ => {}
     }
 }
 
-fn key_broken(state: &KeyState) -> bool {
-    state.runs > 1 || (state.runs > 0 && state.said_not_run)
+fn key_invariant_violated(state: &KeyState) -> bool {
+    state.runs > 1 || (state.runs > 0 && state.reported_not_run)
 }
 
-/// States searched, and whether a broken one was found.
+/// Searches the state space; returns the number of states visited and whether one violates the invariant.
 fn search_keys(guards: KeyGuards) -> (usize, bool) {
     let count = Cell::new(0);
     let steps = |state: &KeyState| {
         count.set(count.get() + 1);
-        key_steps(state, guards)
+        key_successors(state, guards)
     };
-    let found = bfs(&key_start(), steps, key_broken).is_some();
+    let found = bfs(&key_start(), steps, key_invariant_violated).is_some();
     (count.get(), found)
 }
 
 #[gtest]
 fn keys_run_at_most_once_and_never_after_not_run_in_every_reachable_state() {
-    let (states, broken) = search_keys(ALL);
+    let (states, violated) = search_keys(ALL);
     println!("{states} states of the key protocol");
-    expect_that!(broken, eq(false));
+    expect_that!(violated, eq(false));
     expect_that!(states, gt(500));
 }
 
 #[gtest]
-fn without_any_one_guard_the_search_finds_a_broken_promise() {
+fn dropping_any_guard_of_keys_violates_the_invariant() {
     for guards in [
-        KeyGuards { own_life: false, ..ALL },
+        KeyGuards { own_incarnation: false, ..ALL },
         KeyGuards { fence: false, ..ALL },
-        KeyGuards { memory: false, ..ALL },
+        KeyGuards { record: false, ..ALL },
     ] {
         expect_that!(search_keys(guards).1, eq(true));
     }
 }
 
-/// Guards of the spread of configuration.
+/// Guards of configuration replication; the model can drop each of them.
 #[derive(Clone, Copy)]
 struct SpreadGuards {
-    /// A value replaces an older one only.
+    /// A value replaces only an older one.
     order: bool,
-    /// A new process takes the platform's value only after a peer told what it holds, if one is up.
-    ask_peers: bool,
+    /// A new process accepts the platform's value only after a peer, if one is up, has answered with the
+    /// value it holds.
+    query_peers: bool,
 }
 
 const NODES: usize = 3;
@@ -164,14 +170,15 @@
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct SpreadState {
     published: u8,
-    /// What the platform answers: at most what is published, and older while it is stale.
+    /// The revision that the platform answers with: the published one, or an older one while the platform is
+    /// stale.
     answered: u8,
     held: [u8; NODES],
-    asked: [bool; NODES],
+    queried: [bool; NODES],
     restarts: u8,
-    went_back: bool,
-    /// A new node took an old value from the platform though a peer that is up held a newer one.
-    misled: bool,
+    reverted: bool,
+    /// A new node took a stale value from the platform while a running peer held a newer one.
+    took_stale: bool,
 }
 
 fn spread_start() -> SpreadState {
@@ -179,40 +186,40 @@
         published: 1,
         answered: 1,
         held: [1; NODES],
-        asked: [true; NODES],
+        queried: [true; NODES],
         restarts: RESTARTS,
-        went_back: false,
-        misled: false,
+        reverted: false,
+        took_stale: false,
     }
 }
 
-fn spread_steps(state: &SpreadState, guards: SpreadGuards) -> Vec<SpreadState> {
+fn spread_successors(state: &SpreadState, guards: SpreadGuards) -> Vec<SpreadState> {
     let mut next = Vec::new();
     if state.published < REVISIONS {
         next.push(SpreadState { published: state.published + 1, ..state.clone() });
     }
-    // The platform may answer anything that was ever published.
+    // The platform may answer with any revision that was ever published.
     next.extend((1..=state.published).map(|answered| SpreadState { answered, ..state.clone() }));
     for node in 0..NODES {
         let others = (0..NODES).filter(|&other| other != node);
         let newest_elsewhere = others.clone().map(|other| state.held[other]).max().unwrap_or(0);
-        if state.asked[node] || !guards.ask_peers || newest_elsewhere == 0 {
+        if state.queried[node] || !guards.query_peers || newest_elsewhere == 0 {
             let mut taken = take(state, guards, node, state.answered);
-            taken.misled |= state.held[node] == 0 && taken.held[node] < newest_elsewhere;
+            taken.took_stale |= state.held[node] == 0 && taken.held[node] < newest_elsewhere;
             next.push(taken);
         }
         for other in others.filter(|&other| state.held[other] > 0) {
             next.push(take(state, guards, node, state.held[other]));
         }
-        if !state.asked[node] {
-            // It asks all peers that are up, and takes the newest of what they hold.
-            let mut asked = take(state, guards, node, newest_elsewhere);
-            asked.asked[node] = true;
-            next.push(asked);
+        if !state.queried[node] {
+            // The node queries all running peers and takes the newest value.
+            let mut queried = take(state, guards, node, newest_elsewhere);
+            queried.queried[node] = true;
+            next.push(queried);
         }
         if state.restarts > 0 {
             let mut restarted = SpreadState { restarts: state.restarts - 1, ..state.clone() };
-            (restarted.held[node], restarted.asked[node]) = (0, false);
+            (restarted.held[node], restarted.queried[node]) = (0, false);
             next.push(restarted);
         }
     }
@@ -224,32 +231,32 @@
     let held = state.held[node];
     if revision > held || (!guards.order && revision > 0) {
         taken.held[node] = revision;
-        taken.went_back |= revision < held;
+        taken.reverted |= revision < held;
     }
     taken
 }
 
-/// States searched, and whether a broken one was found.
+/// Searches the state space; returns the number of states visited and whether one violates the invariant.
 fn search_spread(guards: SpreadGuards) -> (usize, bool) {
     let count = Cell::new(0);
     let steps = |state: &SpreadState| {
         count.set(count.get() + 1);
-        spread_steps(state, guards)
+        spread_successors(state, guards)
     };
-    let found = bfs(&spread_start(), steps, |state| state.went_back || state.misled).is_some();
+    let found = bfs(&spread_start(), steps, |state| state.reverted || state.took_stale).is_some();
     (count.get(), found)
 }
 
 #[gtest]
-fn no_node_goes_back_nor_is_misled_in_any_reachable_state() {
-    let (states, broken) = search_spread(SpreadGuards { order: true, ask_peers: true });
+fn no_node_reverts_or_takes_a_stale_value_in_any_reachable_state() {
+    let (states, violated) = search_spread(SpreadGuards { order: true, query_peers: true });
     println!("{states} states of the spread");
-    expect_that!(broken, eq(false));
+    expect_that!(violated, eq(false));
     expect_that!(states, gt(500));
 }
 
 #[gtest]
-fn without_order_or_asking_the_search_finds_a_broken_promise() {
-    expect_that!(search_spread(SpreadGuards { order: false, ask_peers: true }).1, eq(true));
-    expect_that!(search_spread(SpreadGuards { order: true, ask_peers: false }).1, eq(true));
+fn dropping_any_guard_of_replication_violates_the_invariant() {
+    expect_that!(search_spread(SpreadGuards { order: false, query_peers: true }).1, eq(true));
+    expect_that!(search_spread(SpreadGuards { order: true, query_peers: false }).1, eq(true));
 }
--- a/crates/pointvane-mesh/tests/rendezvous.rs
+++ b/crates/pointvane-mesh/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Who reads the platform for all.
+//! Choice of the VMs that read the platform on behalf of the fleet.
 
 use {
     googletest::prelude::*,
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn without_a_suspect_the_same_are_chosen_whatever_the_order() {
+fn readers_exclude_suspects_and_do_not_depend_on_the_order_of_rows() {
     let mut rows: Vec<MemberRow> = (0..20).map(|number| row(&format!("vm-{number}"), "a", 0)).collect();
     let chosen = choose_readers("platform", rows.iter(), 3);
     rows.reverse();
--- a/crates/pointvane-mesh/tests/restart.rs
+++ b/crates/pointvane-mesh/tests/restart.rs
@@ -1,4 +1,4 @@
-//! Members that come back.
+//! Restart of a member with an earlier wall clock, from which incarnations are taken.
 
 use {
     googletest::prelude::*,
@@ -30,8 +30,8 @@
     (Membership::new(options, me, u64::from(last_byte), 0), address)
 }
 
-/// Lets two members talk for a time, with nothing lost.
-fn talk(pair: &mut [(Membership, SocketAddr); 2], from_ms: u64, to_ms: u64) {
+/// Lets two members exchange datagrams for a time, without loss.
+fn exchange_datagrams(pair: &mut [(Membership, SocketAddr); 2], from_ms: u64, to_ms: u64) {
     for now_ms in (from_ms..to_ms).step_by(100) {
         let mut queue = Vec::new();
         for (index, (member, _)) in pair.iter_mut().enumerate() {
@@ -47,21 +47,21 @@
     }
 }
 
-fn believed(of: &Membership, name: &str) -> Option<VmState> {
+fn known_state(of: &Membership, name: &str) -> Option<VmState> {
     of.rows().skip(1).find(|row| row.identity.name.as_str() == name).map(|row| row.state)
 }
 
 #[gtest]
-fn a_process_that_restarts_while_its_wall_clock_stands_earlier_is_live_to_all() {
+fn a_process_restarted_with_an_earlier_wall_clock_is_live_to_all() {
     let (a, a_address) = member("a", 1, 1_000, &[]);
     let (b, _) = member("b", 2, 9_000, &[a_address]);
     let mut pair = [(a, a_address), (b, SocketAddr::from(([10, 0, 0, 2], 7_001)))];
-    talk(&mut pair, 0, 5_000);
-    expect_that!(believed(&pair[0].0, "b"), some(eq(VmState::Live)));
-    // It is killed, comes back at once, and its clock has been set back.
+    exchange_datagrams(&mut pair, 0, 5_000);
+    expect_that!(known_state(&pair[0].0, "b"), some(eq(VmState::Live)));
+    // The process is killed and restarts at once, after its wall clock was set back.
     pair[1] = member("b", 2, 2_000, &[a_address]);
-    talk(&mut pair, 5_000, 12_000);
-    expect_that!(believed(&pair[0].0, "b"), some(eq(VmState::Live)));
-    let later = pair[0].0.rows().find(|row| row.identity.name.as_str() == "b").unwrap();
-    expect_that!(later.identity.incarnation.0, gt(9_000));
+    exchange_datagrams(&mut pair, 5_000, 12_000);
+    expect_that!(known_state(&pair[0].0, "b"), some(eq(VmState::Live)));
+    let restarted = pair[0].0.rows().find(|row| row.identity.name.as_str() == "b").unwrap();
+    expect_that!(restarted.identity.incarnation.0, gt(9_000));
 }
--- a/crates/pointvane-mesh/tests/wire_format.rs
+++ b/crates/pointvane-mesh/tests/wire_format.rs
@@ -1,4 +1,5 @@
-//! The bytes of every message between processes stay as they are: one golden value for each kind and variant.
+//! The encoding of messages between processes must not change: compares one message of each kind and variant
+//! with its golden bytes.
 
 use {
     googletest::prelude::*,
@@ -12,10 +13,10 @@
     std::fmt::Write,
 };
 
-/// The golden lines, `name bytes-in-hexadecimal`.
+/// Golden encodings, one per line: the name and the bytes in hexadecimal.
 const GOLDEN: &str = include_str!("golden/wire_format.txt");
 
-/// Messages in the form of the golden lines.
+/// Encoded messages in the format of [`GOLDEN`].
 #[derive(Default)]
 struct Lines(String);
 
@@ -62,7 +63,7 @@
 }
 
 #[gtest]
-fn every_message_has_the_bytes_that_it_always_had() {
+fn every_message_matches_its_golden_encoding() {
     let mut lines = Lines::default();
     let entry = EntryRow { incarnation: Incarnation(77), requests: 9, leaving: true };
     lines.add("gossip-ping", &gossip(Payload::Ping { sequence: 300 }, Vec::new()));
@@ -100,7 +101,7 @@
 }
 
 #[gtest]
-fn a_frame_is_its_length_in_four_bytes_and_the_message() {
+fn a_frame_is_a_four_byte_length_and_the_message() {
     let frame = codec::frame(&FeedHello { role: FeedRole::Peer }).unwrap();
     expect_that!(frame, eq(&vec![0, 0, 0, 2, codec::VERSION, 2]));
     expect_that!(codec::VERSION, eq(1));
@@ -109,7 +110,7 @@
 }
 
 #[gtest]
-fn the_published_list_of_vms_reads_and_writes_the_same_json() {
+fn the_published_list_of_vms_keeps_its_json_format() {
     let vms = vec![ListedVm { name: "entry-3".into(), leaving: true }];
     let text = r#"{"vms":[{"name":"entry-3","leaving":true}]}"#;
     expect_that!(serde_json::to_string(&VmList { vms: vms.clone() }).unwrap(), eq(text));
