--- a/crates/pointvane-mesh/src/load.rs
+++ b/crates/pointvane-mesh/src/load.rs
@@ -92,7 +92,7 @@
     budget_bytes: f64,
     refilled_at_us: u64,
     last_round_at_us: u64,
-    /// Size of the last round's datagram, used to estimate the cost_bytes of the next round.
+    /// Size of the last round's datagram, used to estimate the cost of the next round.
     datagram_bytes: usize,
 }
 
--- a/crates/pointvane-mesh/src/membership.rs
+++ b/crates/pointvane-mesh/src/membership.rs
@@ -84,7 +84,7 @@
 }
 
 impl Membership {
-    /// Creates the state of a process that knows no other member; `me` is its own row, `seed` that of its
+    /// Creates the state of a process that knows no other member; `me` is its own row, `seed` seeds its
     /// random numbers.
     pub fn new(options: MembershipOptions, me: MemberRow, seed: u64, now_us: u64) -> Self {
         Self {
--- a/crates/pointvane-mesh/src/membership/options.rs
+++ b/crates/pointvane-mesh/src/membership/options.rs
@@ -18,7 +18,8 @@
     pub announce_fan_out: usize,
     /// Time for which the rows of dead members are kept, in milliseconds.
     pub dead_retention_ms: u64,
-    /// Number of rounds (probe intervals) between two pings of dead members and seeds.
+    /// Number of rounds (probe intervals) between two pings of dead members and seeds. If no member is alive, they
+    /// are pinged in every round.
     pub reconnect_interval_rounds: u64,
     /// Addresses that are pinged to join the fleet after a start, and to rejoin it after a network partition.
     pub seeds: Vec<SocketAddr>,
--- a/crates/pointvane-mesh/tests/messages.rs
+++ b/crates/pointvane-mesh/tests/messages.rs
@@ -118,7 +118,7 @@
     }
 
     #[test]
-    fn no_order_of_offers_makes_a_process_revert_to_an_older_value(stamps in vec((1..6_u64, 1..6_u64, any::<bool>()), 1..40)) {
+    fn no_order_of_offers_makes_a_process_revert(stamps in vec((1..6_u64, 1..6_u64, any::<bool>()), 1..40)) {
         let mut spread = Spread::new(0);
         let mut held = Stamp::default();
         for (revision, index, from_peer) in stamps {
--- a/crates/pointvane-mesh/tests/model.rs
+++ b/crates/pointvane-mesh/tests/model.rs
@@ -13,7 +13,7 @@
     own_incarnation: bool,
     /// A key that was reported as not run is fenced, so that a later copy does not run.
     fence: bool,
-    /// A key that has run stays recorded.
+    /// A key that is running or has run stays recorded.
     record: bool,
 }
 
