--- a/crates/pointvane-config/src/configuration.rs
+++ b/crates/pointvane-config/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: what an accepted file set says.
+//! Data model of the configuration that an accepted file set describes.
 
 use {
     crate::service_options::{AdmissionOptions, EjectionOptions, HedgeOptions, LoadOptions, RetryOptions},
@@ -7,27 +7,27 @@
     std::net::SocketAddr,
 };
 
-/// One accepted file set.
+/// The contents of one accepted file set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// The operators' count of accepted file sets; larger is newer.
+    /// Revision number, raised by operators with each published file set; larger is newer.
     pub revision: u64,
-    /// Limits that hold for the fleet of entry VMs.
+    /// Fleet-wide limits.
     pub limits: FleetLimits,
-    /// The services, by name.
+    /// The services, sorted by name.
     pub services: Vec<Service>,
 }
 
-/// Limits that hold for the fleet of entry VMs.
+/// Limits that apply to the whole fleet of entry VMs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetLimits {
-    /// Most entry VMs that may ever run at once; shares of fleet-wide budgets are worked out from it.
+    /// Maximum number of entry VMs that run at once; fleet-wide budgets are divided by it.
     pub entry_vms_max: u32,
-    /// Bytes of control traffic that one entry VM may send each second, IP and UDP heads included.
+    /// Bytes of control traffic that one entry VM may send per second, IP and UDP headers included.
     pub control_bytes_per_s: u32,
-    /// How long callers may keep locate's answer, in milliseconds.
+    /// How long callers may cache an answer of the locate service, in milliseconds.
     pub locate_keep_ms: u64,
-    /// How long an idempotency key lives, in milliseconds.
+    /// Lifetime of an idempotency key, in milliseconds.
     pub key_life_ms: u64,
 }
 
@@ -37,23 +37,23 @@
     }
 }
 
-/// How an upstream is chosen.
+/// Load-balancing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Policy {
-    /// Any upstream.
+    /// A random upstream.
     Random,
-    /// Each in turn.
+    /// Upstreams in turn.
     RoundRobin,
-    /// The fewest of this entry VM's own requests.
+    /// The upstream with the fewest requests in flight from this entry VM.
     LocalLeast,
-    /// The better of two by this entry VM's own requests.
+    /// The better of two upstreams by requests in flight from this entry VM.
     LocalTwoChoices,
-    /// The better of a few by the load of all entry VMs.
+    /// The best of a few upstreams by the load from all entry VMs.
     Shared,
 }
 
 impl Policy {
-    /// The names used in files.
+    /// Policies by their names in configuration files.
     pub const NAMES: [(&'static str, Self); 5] = [
         ("shared", Self::Shared),
         ("random", Self::Random),
@@ -63,39 +63,39 @@
     ];
 }
 
-/// One service and the rules for sending work to it.
+/// One service and the rules for routing requests to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// The service's name.
     pub name: Name,
-    /// Which requests are the service's.
+    /// Which requests are routed to the service.
     pub route: Route,
-    /// How an upstream is chosen.
+    /// Load-balancing policy.
     pub policy: Policy,
-    /// Deadline of a request that names none, in milliseconds.
+    /// Deadline of requests that do not set one, in milliseconds.
     pub deadline_ms: u64,
-    /// Entry VMs that callers are sent to, the same ones by every locate; 0 for all.
+    /// Number of entry VMs that callers are sent to, 0 for all; every locate process selects the same ones.
     pub home_vms: u32,
-    /// The upstreams, by name.
+    /// The service's upstreams.
     pub upstreams: Vec<Upstream>,
-    /// Knowledge of load.
+    /// Load tracking.
     pub load: LoadOptions,
     /// Admission and queueing.
     pub admission: AdmissionOptions,
-    /// Retries.
+    /// Retry limits.
     pub retry: RetryOptions,
-    /// Hedges.
+    /// Hedged requests.
     pub hedge: HedgeOptions,
     /// Ejection of failing upstreams.
     pub ejection: EjectionOptions,
 }
 
-/// Which requests are a service's.
+/// Matches the requests of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// `Host` names, without port; empty for any.
+    /// Values of the `Host` header, without port; empty matches any host.
     pub hosts: Vec<Name>,
-    /// Prefix of the path.
+    /// Prefix of the request path.
     pub path_prefix: Name,
 }
 
@@ -104,13 +104,13 @@
 pub struct Upstream {
     /// The upstream's name, unique in its service.
     pub name: Name,
-    /// The data centre it stands in.
+    /// The data centre that it runs in.
     pub data_centre: Name,
-    /// Where it serves.
+    /// Address that it serves requests on.
     pub address: SocketAddr,
-    /// Requests it runs at once.
+    /// Number of requests that it processes at once.
     pub slots: u16,
-    /// Whether operators are emptying its data centre: it gets no new work.
+    /// Whether operators have evacuated its data centre; evacuated upstreams get no new requests.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub evacuated: bool,
 }
--- a/crates/pointvane-config/src/fault.rs
+++ b/crates/pointvane-config/src/fault.rs
@@ -1,19 +1,19 @@
-//! One fault of a file, and all the faults of a file set.
+//! Validation faults of configuration and settings files.
 
 use {pointvane_core::Name, serde::Serialize, std::fmt};
 
-/// One thing wrong in one file.
+/// One validation error in one file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// The file's name as given.
+    /// Name of the file, as it was passed in or relative to the file set.
     pub file: Name,
-    /// Line, counted from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// The key concerned, with its table.
+    /// The key with the path of its table, such as `load.choices`; `(file)` or `(syntax)` for a whole file.
     pub key: String,
     /// What is wrong.
     pub problem: String,
-    /// What to do about it.
+    /// How to correct it.
     pub remedy: String,
 }
 
@@ -24,16 +24,16 @@
     }
 }
 
-/// All the faults found, in the order of files and lines.
+/// All faults of a file or file set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// `value` if there are no faults.
+    /// Returns `value` if there are no faults.
     ///
     /// # Errors
-    /// The faults, if there are any.
-    pub fn or<T>(mut self, value: T) -> Result<T, Self> {
+    /// The faults sorted by file, line and key, if there are any.
+    pub fn into_result<T>(mut self, value: T) -> Result<T, Self> {
         if self.0.is_empty() {
             return Ok(value);
         }
--- a/crates/pointvane-config/src/file.rs
+++ b/crates/pointvane-config/src/file.rs
@@ -1,4 +1,4 @@
-//! Reading of one TOML file with all its faults at once.
+//! Reads and validates one TOML file.
 
 use {
     crate::{
@@ -9,10 +9,10 @@
     std::{fs, path::Path},
 };
 
-/// Reads a file with one function for its whole document.
+/// Reads a TOML file and passes its root table to `read`.
 ///
 /// # Errors
-/// All its faults.
+/// All faults of the file, or a single one if it cannot be read or parsed.
 pub fn read_file<T>(path: &Path, read: impl FnOnce(&Section<'_, '_>) -> T) -> Result<T, Faults> {
     let file = path.to_string_lossy();
     let Ok(text) = fs::read_to_string(path) else {
@@ -26,6 +26,6 @@
     };
     let document = Document::new(&file, &text);
     let table = document.parse();
-    let value = table.as_ref().map(|table| read(&Section::top(&document, table)));
-    document.into_faults().or(value)?.ok_or_else(Faults::default)
+    let value = table.as_ref().map(|table| read(&Section::root(&document, table)));
+    document.into_faults().into_result(value)?.ok_or_else(Faults::default)
 }
--- a/crates/pointvane-config/src/file_set.rs
+++ b/crates/pointvane-config/src/file_set.rs
@@ -1,13 +1,13 @@
-//! Where the files of a file set stand.
+//! Layout of a file set.
 
 use std::path::Path;
 
-/// The file with the limits of the fleet.
+/// Name of the file with the revision, the fleet-wide limits and the evacuated data centres.
 pub const FLEET_FILE: &str = "fleet.toml";
-/// The directory with one file a service.
+/// Name of the directory with one file per service.
 pub const SERVICES_DIRECTORY: &str = "services";
 
-/// Whether a path in the directory of services is read.
+/// Whether a path in the services directory is read as a service file.
 pub fn is_service_file(path: &Path) -> bool {
     path.extension().is_some_and(|extension| extension == "toml")
 }
--- a/crates/pointvane-config/src/fleet_file.rs
+++ b/crates/pointvane-config/src/fleet_file.rs
@@ -1,4 +1,4 @@
-//! Reading of a whole file set: `fleet.toml` and `services/*.toml` of one directory.
+//! Reads a file set: `fleet.toml` and `services/*.toml` in one directory.
 
 use {
     crate::{
@@ -19,52 +19,54 @@
     },
 };
 
-/// The lowest share of the fleet's probe budget that is still a useful rate for one entry VM.
+/// Minimum share of a service's probe rate that one entry VM may get: one probe per 1000 s. A lower
+/// rate is too rare to be useful.
 const PROBE_SHARE_MIN_PER_S: f64 = 0.001;
 
-/// Reads and checks a file set; what stands beside its files is ignored.
+/// Reads and validates a file set; other files in the directory are ignored.
 ///
 /// # Errors
-/// All the faults of all the files.
+/// All faults of all files.
 pub fn read_directory(directory: &Path) -> Result<Configuration, Faults> {
-    read_set(directory, Faults::default())
+    read_file_set(directory, Faults::default())
 }
 
-/// Reads and checks a file set, in which nothing may stand that is not read.
+/// Reads and validates a file set; files and directories that are not part of it are faults.
 ///
 /// # Errors
-/// All the faults of all the files, stray ones included.
+/// All faults of all files, including one per stray file.
 pub fn check_directory(directory: &Path) -> Result<Configuration, Faults> {
-    read_set(directory, stray_files(directory))
+    read_file_set(directory, stray_files(directory))
 }
 
-fn read_set(directory: &Path, mut faults: Faults) -> Result<Configuration, Faults> {
+fn read_file_set(directory: &Path, mut faults: Faults) -> Result<Configuration, Faults> {
     let FleetFile { revision, limits, evacuated } = read_fleet(directory, &mut faults);
     let mut services = Vec::new();
-    let mut seen = Seen::default();
+    let mut used = UsedNames::default();
     for path in service_paths(directory, &mut faults) {
-        services.extend(read_service_file(directory, &path, &limits, &mut seen, &mut faults));
+        services.extend(read_service_file(directory, &path, &limits, &mut used, &mut faults));
     }
     services.sort_by(|a, b| a.name.cmp(&b.name));
-    evacuate(&evacuated, &mut services, &mut faults);
-    faults.or(Configuration { revision, limits, services })
+    mark_evacuated(&evacuated, &mut services, &mut faults);
+    faults.into_result(Configuration { revision, limits, services })
 }
 
-/// What `fleet.toml` says.
+/// Contents of `fleet.toml`.
 #[derive(Default)]
 struct FleetFile {
     revision: u64,
     limits: FleetLimits,
-    /// Data centres whose upstreams get no new work.
+    /// Data centres whose upstreams get no new requests.
     evacuated: Vec<Name>,
 }
 
-/// Marks the upstreams of evacuated data centres; one that no upstream is in is a fault, since nothing would be emptied.
-fn evacuate(evacuated: &[Name], services: &mut [Service], faults: &mut Faults) {
+/// Marks the upstreams of evacuated data centres. An evacuated data centre without upstreams is a fault,
+/// since evacuating it would have no effect.
+fn mark_evacuated(evacuated: &[Name], services: &mut [Service], faults: &mut Faults) {
     for data_centre in evacuated {
         let upstreams = services.iter_mut().flat_map(|service| &mut service.upstreams);
-        let emptied = upstreams.filter(|upstream| upstream.data_centre == *data_centre);
-        if emptied.map(|upstream| upstream.evacuated = true).count() == 0 {
+        let matching = upstreams.filter(|upstream| upstream.data_centre == *data_centre);
+        if matching.map(|upstream| upstream.evacuated = true).count() == 0 {
             faults.0.push(Fault {
                 file: FLEET_FILE.into(),
                 line: 1,
@@ -83,8 +85,8 @@
         faults.0.extend(document.into_faults().0);
         return FleetFile::default();
     };
-    let top = Section::top(&document, &table);
-    top.only(&[
+    let root = Section::root(&document, &table);
+    root.reject_unknown_keys(&[
         "control_bytes_per_s",
         "entry_vms_max",
         "evacuated",
@@ -92,35 +94,39 @@
         "locate_keep_ms",
         "revision",
     ]);
-    let revision = top.integer("revision", 1..=u64::MAX >> 1, None);
-    let limits = read_limits(&top);
-    let evacuated = top.texts("evacuated").iter().map(|name| name.as_str().into()).collect();
+    let revision = root.integer("revision", 1..=u64::MAX >> 1, None);
+    let limits = read_limits(&root);
+    let evacuated = root.strings("evacuated").iter().map(|name| name.as_str().into()).collect();
     faults.0.extend(document.into_faults().0);
     FleetFile { revision, limits, evacuated }
 }
 
-fn read_limits(top: &Section<'_, '_>) -> FleetLimits {
+fn read_limits(root: &Section<'_, '_>) -> FleetLimits {
     let default = FleetLimits::default();
     let limits = FleetLimits {
-        entry_vms_max: top.integer("entry_vms_max", 1..=10_000, None),
-        control_bytes_per_s: top.integer(
+        entry_vms_max: root.integer("entry_vms_max", 1..=10_000, None),
+        control_bytes_per_s: root.integer(
             "control_bytes_per_s",
             1_000..=10_000_000,
             Some(default.control_bytes_per_s),
         ),
-        locate_keep_ms: top.integer("locate_keep_ms", 100..=600_000, Some(default.locate_keep_ms)),
-        key_life_ms: top.integer("key_life_ms", 1_000..=3_600_000, Some(default.key_life_ms)),
+        locate_keep_ms: root.integer("locate_keep_ms", 100..=600_000, Some(default.locate_keep_ms)),
+        key_life_ms: root.integer("key_life_ms", 1_000..=3_600_000, Some(default.key_life_ms)),
     };
     if limits.key_life_ms < limits.locate_keep_ms {
         let remedy = format!("give at least locate_keep_ms = {}", limits.locate_keep_ms);
-        top.fault("key_life_ms", "keys would end before the answer that carries them", remedy);
+        root.fault(
+            "key_life_ms",
+            "is below locate_keep_ms: keys would expire before the answers that carry them",
+            remedy,
+        );
     }
     limits
 }
 
-/// Names and addresses already taken, with the file that took them.
+/// Names, routes and addresses already in use, with the file that uses each.
 #[derive(Default)]
-struct Seen {
+struct UsedNames {
     services: BTreeMap<Name, String>,
     routes: BTreeMap<(Name, Name), String>,
     addresses: BTreeMap<SocketAddr, String>,
@@ -130,7 +136,7 @@
     directory: &Path,
     path: &Path,
     limits: &FleetLimits,
-    seen: &mut Seen,
+    used: &mut UsedNames,
     faults: &mut Faults,
 ) -> Option<Service> {
     let file = path.to_string_lossy().into_owned();
@@ -140,60 +146,64 @@
         faults.0.extend(document.into_faults().0);
         return None;
     };
-    let top = Section::top(&document, &table);
-    let service = read_service(&top);
-    check_names(&top, &service, &file, seen);
-    check_upstreams(&top, &service, &file, seen);
-    check_sums(&top, &service, limits);
+    let root = Section::root(&document, &table);
+    let service = read_service(&root);
+    check_name_and_routes(&root, &service, &file, used);
+    check_upstreams(&root, &service, &file, used);
+    check_constraints(&root, &service, limits);
     faults.0.extend(document.into_faults().0);
     Some(service)
 }
 
-fn check_names(top: &Section<'_, '_>, service: &Service, file: &str, seen: &mut Seen) {
-    if let Some(other) = seen.services.insert(service.name.clone(), file.into()) {
-        top.fault(
+fn check_name_and_routes(root: &Section<'_, '_>, service: &Service, file: &str, used: &mut UsedNames) {
+    if let Some(other) = used.services.insert(service.name.clone(), file.into()) {
+        root.fault(
             "name",
             format!("\"{}\" is also in {other}", service.name),
-            "give each service its own name",
+            "give each service a unique name",
         );
     }
     let any = [Name::from("*")];
     let hosts = if service.route.hosts.is_empty() { &any[..] } else { &service.route.hosts };
     for host in hosts {
         let route = (host.clone(), service.route.path_prefix.clone());
-        if let Some(other) = seen.routes.insert(route, file.into()) {
-            top.fault("path_prefix", format!("the same host and path are in {other}"), "make them differ");
+        if let Some(other) = used.routes.insert(route, file.into()) {
+            root.fault(
+                "path_prefix",
+                format!("the same host and path prefix are in {other}"),
+                "use a different host or path prefix",
+            );
         }
     }
 }
 
-fn check_upstreams(top: &Section<'_, '_>, service: &Service, file: &str, seen: &mut Seen) {
+fn check_upstreams(root: &Section<'_, '_>, service: &Service, file: &str, used: &mut UsedNames) {
     let mut names = BTreeMap::new();
-    for section in top.sections("upstream") {
-        let name = section.text("name", "dispatch-1");
+    for section in root.sections("upstream") {
+        let name = section.string("name", "dispatch-1");
         if names.insert(name.clone(), ()).is_some() && !name.is_empty() {
-            section.fault("name", format!("\"{name}\" stands twice"), "give each upstream its own name");
+            section.fault("name", format!("\"{name}\" is used twice"), "give each upstream a unique name");
         }
         let address = service.upstreams.iter().find(|u| u.name.as_str() == name).map(|u| u.address);
-        let taken = address.and_then(|address| seen.addresses.insert(address, format!("{file} as {name}")));
-        if let Some(other) = taken.filter(|other| *other != format!("{file} as {name}")) {
-            section.fault("address", format!("is also in {other}"), "give each upstream its own address");
+        let used_by = address.and_then(|address| used.addresses.insert(address, format!("{file} as {name}")));
+        if let Some(other) = used_by.filter(|other| *other != format!("{file} as {name}")) {
+            section.fault("address", format!("is also in {other}"), "give each upstream a unique address");
         }
     }
 }
 
-fn check_sums(top: &Section<'_, '_>, service: &Service, limits: &FleetLimits) {
+fn check_constraints(root: &Section<'_, '_>, service: &Service, limits: &FleetLimits) {
     let share = service.load.probes_per_s / f64::from(limits.entry_vms_max);
     if service.load.probes_per_s > 0.0 && share < PROBE_SHARE_MIN_PER_S {
         let least = PROBE_SHARE_MIN_PER_S * f64::from(limits.entry_vms_max);
-        top.section("load").fault(
+        root.section("load").fault(
             "probes_per_s",
             "divided by entry_vms_max leaves less than one probe in 1000 s",
             format!("give 0 to switch probes off, or at least {least}"),
         );
     }
     if service.admission.wait_max_ms >= service.deadline_ms {
-        top.section("admission").fault(
+        root.section("admission").fault(
             "wait_max_ms",
             "is not below the service's deadline_ms",
             format!("give less than {}", service.deadline_ms),
@@ -203,7 +213,7 @@
 
 fn service_paths(directory: &Path, faults: &mut Faults) -> Vec<PathBuf> {
     let Ok(entries) = fs::read_dir(directory.join(SERVICES_DIRECTORY)) else {
-        faults.0.push(missing(SERVICES_DIRECTORY, "put one file a service into this directory"));
+        faults.0.push(unreadable_file(SERVICES_DIRECTORY, "put one file per service into this directory"));
         return Vec::new();
     };
     let names = entries.flatten().map(|entry| Path::new(SERVICES_DIRECTORY).join(entry.file_name()));
@@ -215,12 +225,12 @@
 fn read_text(directory: &Path, file: &str, faults: &mut Faults) -> Option<String> {
     let text = fs::read_to_string(directory.join(file));
     if text.is_err() {
-        faults.0.push(missing(file, "make the file readable, as UTF-8 text"));
+        faults.0.push(unreadable_file(file, "make the file readable and encode it as UTF-8"));
     }
     text.ok()
 }
 
-fn missing(file: &str, remedy: &str) -> Fault {
+fn unreadable_file(file: &str, remedy: &str) -> Fault {
     Fault {
         file: file.into(),
         line: 1,
--- a/crates/pointvane-config/src/lib.rs
+++ b/crates/pointvane-config/src/lib.rs
@@ -1,6 +1,7 @@
-//! Settings of the programs and the operators' declarative files: reading, checking, packing.
+//! Reads and validates the programs' settings and the operators' configuration files, and packs
+//! configurations for publication.
 //!
-//! Every fault of a file set is found in one pass; each carries file, line, key, problem and remedy.
+//! All faults of a file set are reported in one pass, each with file, line, key, problem and remedy.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/pointvane-config/src/node_options.rs
+++ b/crates/pointvane-config/src/node_options.rs
@@ -1,11 +1,12 @@
-//! Options of a node: how it chooses, admits, repeats and writes lines. All have defaults; no file is needed.
+//! Options of a node: load balancing, admission, hedging and logging. Every option has a default, so the file
+//! may be left out.
 
 use {
     crate::{fault::Faults, file::read_file, section::Section},
     std::{net::IpAddr, path::Path},
 };
 
-/// Every key of the options file; docs/OPERATIONS.md is checked against this list.
+/// Every key of the options file; a test compares docs/OPERATIONS.md with this list.
 pub const NODE_OPTION_KEYS: [&str; 15] = [
     "choice.policy",
     "choice.ask_first",
@@ -27,47 +28,47 @@
 /// Options of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeOptions {
-    /// How an upstream is chosen.
+    /// Load balancing.
     pub choice: ChoiceOptions,
-    /// When work is told to come back.
+    /// Admission control.
     pub admission: NodeAdmissionOptions,
-    /// Second attempts.
+    /// Hedged requests.
     pub repeats: RepeatOptions,
-    /// Log lines on requests.
+    /// Sampling and rate limits of log lines.
     pub lines: LineOptions,
-    /// How other nodes reach this one.
+    /// Address for traffic from other nodes.
     pub fleet: FleetOptions,
-    /// How callers' connections are read.
+    /// Limits on callers' connections.
     pub callers: CallerOptions,
-    /// When requests under which upstreams crash are refused.
+    /// Quarantine of requests that crash upstreams.
     pub quarantine: NodeQuarantineOptions,
 }
 
-/// By what an upstream is chosen.
+/// Load-balancing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChoicePolicy {
-    /// The most promising are asked for their load right before the send.
+    /// Queries the best candidates for their load right before sending.
     Ask,
-    /// The fewest of this node's own requests.
+    /// The upstream with the fewest requests in flight from this node.
     OwnLeast,
-    /// Any.
+    /// A random upstream.
     Random,
 }
 
 impl ChoicePolicy {
-    /// The names used in files.
+    /// Policies by their names in options files.
     pub const NAMES: [(&'static str, Self); 3] =
         [("ask", Self::Ask), ("own-least", Self::OwnLeast), ("random", Self::Random)];
 }
 
-/// How an upstream is chosen.
+/// Load-balancing options.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChoiceOptions {
-    /// By what.
+    /// Load-balancing policy.
     pub policy: ChoicePolicy,
-    /// Upstreams asked together at first.
+    /// Number of upstreams queried in the first round.
     pub ask_first: usize,
-    /// Upstreams asked besides when none of these is good.
+    /// Number of further upstreams queried when none of the first round is acceptable.
     pub ask_more: usize,
 }
 
@@ -77,12 +78,12 @@
     }
 }
 
-/// When work that would be late is told to come back.
+/// Admission control: requests that are expected to finish late are refused with a retry time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeAdmissionOptions {
-    /// Part of its target time that work of rank 0 may be expected to take.
+    /// Maximum expected duration of requests of rank 0, as a multiple of their target time.
     pub target_share: f64,
-    /// What each rank takes off that part.
+    /// Amount by which each rank lowers that multiple.
     pub rank_step: f64,
 }
 
@@ -92,10 +93,10 @@
     }
 }
 
-/// Second attempts of safe work that is slow.
+/// Hedging: a second attempt of slow requests that are safe to repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepeatOptions {
-    /// Whether they are made.
+    /// Whether requests are hedged.
     pub hedge: bool,
 }
 
@@ -105,14 +106,14 @@
     }
 }
 
-/// Log lines on requests.
+/// Sampling and rate limits of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineOptions {
-    /// One of so many lines on what went well is written.
+    /// One in this many log lines about successful events is written.
     pub well_every: u64,
-    /// Lines on what went wrong that are written each second.
+    /// Maximum rate of log lines about failures, per second.
     pub wrong_per_s: u64,
-    /// Lines on beliefs about upstreams and other nodes that are written each second.
+    /// Maximum rate of log lines about the assumed state of upstreams and other nodes, per second.
     pub beliefs_per_s: u64,
 }
 
@@ -122,42 +123,47 @@
     }
 }
 
-/// How other nodes reach this one.
+/// Address for traffic from other nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetOptions {
-    /// The address on which other nodes' datagrams and queries are accepted; none for the advertised one.
+    /// Local address on which datagrams and queries from other nodes are accepted; `None` for the advertised
+    /// address.
     pub bind_ip: Option<IpAddr>,
 }
 
 /// Default of [`CallerOptions::start_wait_ms`].
 ///
-/// After all of 472 nodes had lost power, they knew everything 0.57 s after their start (median; the last after 0.82 s).
-const START_WAIT_MS: u64 = 800;
+/// After a power loss of all 472 nodes of a fleet, nodes had the complete state 0.57 s after their start
+/// (median; the last after 0.82 s).
+const START_WAIT_MS_DEFAULT: u64 = 800;
 
-/// How callers' connections are read.
+/// Limits on callers' connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerOptions {
-    /// Requests of one connection that are under way at once.
+    /// Maximum number of requests of one connection that are in flight at once.
     pub pipeline_requests: usize,
-    /// Bytes that are read of requests which wait for those ahead of them.
+    /// Maximum number of bytes buffered of pipelined requests that wait for earlier ones.
     pub pipeline_bytes: usize,
-    /// Time after the node's start until which requests are held that it does not know yet what to do with, in milliseconds.
+    /// Time after the node's start for which requests are held while the state needed to route them is
+    /// incomplete, in milliseconds.
     pub start_wait_ms: u64,
 }
 
-/// Not measured at other values: what browsers and client libraries send at once on one connection, in heads of up to 2 KB.
+/// The pipelining limits cover what browsers and client libraries send at once on one connection: 8 requests
+/// with heads of up to 2 KB.
 impl Default for CallerOptions {
     fn default() -> Self {
-        Self { pipeline_requests: 8, pipeline_bytes: 16 << 10, start_wait_ms: START_WAIT_MS }
+        Self { pipeline_requests: 8, pipeline_bytes: 16 << 10, start_wait_ms: START_WAIT_MS_DEFAULT }
     }
 }
 
-/// When requests under which upstreams crash are refused; why these values: `pointvane-dispatch/src/quarantine.rs`.
+/// Quarantine of requests that crash upstreams; `pointvane-dispatch/src/quarantine.rs` gives reasons for the
+/// defaults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeQuarantineOptions {
-    /// Upstreams that crash under a request, one after the other, before it is refused; 0 for never.
+    /// Number of consecutive upstream crashes after which a request is refused; 0 disables quarantine.
     pub after_crashes: usize,
-    /// Time of the first quarantine, in milliseconds.
+    /// Duration of the first quarantine, in milliseconds.
     pub hold_ms: u64,
 }
 
@@ -167,29 +173,29 @@
     }
 }
 
-/// Reads and checks an options file.
+/// Reads and validates an options file.
 ///
 /// # Errors
-/// All its faults.
+/// All faults of the file.
 pub fn read_node_options(path: &Path) -> Result<NodeOptions, Faults> {
     read_file(path, read)
 }
 
-fn read(top: &Section<'_, '_>) -> NodeOptions {
-    top.only(&["admission", "callers", "choice", "fleet", "lines", "quarantine", "repeats"]);
+fn read(root: &Section<'_, '_>) -> NodeOptions {
+    root.reject_unknown_keys(&["admission", "callers", "choice", "fleet", "lines", "quarantine", "repeats"]);
     NodeOptions {
-        choice: choice(&top.section("choice")),
-        admission: admission(&top.section("admission")),
-        repeats: repeats(&top.section("repeats")),
-        lines: lines(&top.section("lines")),
-        fleet: fleet(&top.section("fleet")),
-        callers: callers(&top.section("callers")),
-        quarantine: quarantine(&top.section("quarantine")),
+        choice: read_choice(&root.section("choice")),
+        admission: read_admission(&root.section("admission")),
+        repeats: read_repeats(&root.section("repeats")),
+        lines: read_lines(&root.section("lines")),
+        fleet: read_fleet(&root.section("fleet")),
+        callers: read_callers(&root.section("callers")),
+        quarantine: read_quarantine(&root.section("quarantine")),
     }
 }
 
-fn choice(section: &Section<'_, '_>) -> ChoiceOptions {
-    section.only(&["ask_first", "ask_more", "policy"]);
+fn read_choice(section: &Section<'_, '_>) -> ChoiceOptions {
+    section.reject_unknown_keys(&["ask_first", "ask_more", "policy"]);
     let defaults = ChoiceOptions::default();
     ChoiceOptions {
         policy: section.choice("policy", &ChoicePolicy::NAMES, defaults.policy),
@@ -198,8 +204,8 @@
     }
 }
 
-fn admission(section: &Section<'_, '_>) -> NodeAdmissionOptions {
-    section.only(&["rank_step", "target_share"]);
+fn read_admission(section: &Section<'_, '_>) -> NodeAdmissionOptions {
+    section.reject_unknown_keys(&["rank_step", "target_share"]);
     let defaults = NodeAdmissionOptions::default();
     NodeAdmissionOptions {
         target_share: section.number("target_share", 0.1..=1_000.0, defaults.target_share),
@@ -207,13 +213,13 @@
     }
 }
 
-fn repeats(section: &Section<'_, '_>) -> RepeatOptions {
-    section.only(&["hedge"]);
-    RepeatOptions { hedge: section.flag("hedge", RepeatOptions::default().hedge) }
+fn read_repeats(section: &Section<'_, '_>) -> RepeatOptions {
+    section.reject_unknown_keys(&["hedge"]);
+    RepeatOptions { hedge: section.boolean("hedge", RepeatOptions::default().hedge) }
 }
 
-fn lines(section: &Section<'_, '_>) -> LineOptions {
-    section.only(&["beliefs_per_s", "well_every", "wrong_per_s"]);
+fn read_lines(section: &Section<'_, '_>) -> LineOptions {
+    section.reject_unknown_keys(&["beliefs_per_s", "well_every", "wrong_per_s"]);
     let defaults = LineOptions::default();
     LineOptions {
         well_every: section.integer("well_every", 1..=1_000_000, Some(defaults.well_every)),
@@ -222,13 +228,13 @@
     }
 }
 
-fn fleet(section: &Section<'_, '_>) -> FleetOptions {
-    section.only(&["bind_ip"]);
-    FleetOptions { bind_ip: section.parsed_if_given("bind_ip", "10.0.0.7") }
+fn read_fleet(section: &Section<'_, '_>) -> FleetOptions {
+    section.reject_unknown_keys(&["bind_ip"]);
+    FleetOptions { bind_ip: section.parsed_optional("bind_ip", "10.0.0.7") }
 }
 
-fn callers(section: &Section<'_, '_>) -> CallerOptions {
-    section.only(&["pipeline_bytes", "pipeline_requests", "start_wait_ms"]);
+fn read_callers(section: &Section<'_, '_>) -> CallerOptions {
+    section.reject_unknown_keys(&["pipeline_bytes", "pipeline_requests", "start_wait_ms"]);
     let defaults = CallerOptions::default();
     let (requests, bytes) = (defaults.pipeline_requests, defaults.pipeline_bytes);
     CallerOptions {
@@ -238,8 +244,8 @@
     }
 }
 
-fn quarantine(section: &Section<'_, '_>) -> NodeQuarantineOptions {
-    section.only(&["after_crashes", "hold_ms"]);
+fn read_quarantine(section: &Section<'_, '_>) -> NodeQuarantineOptions {
+    section.reject_unknown_keys(&["after_crashes", "hold_ms"]);
     let defaults = NodeQuarantineOptions::default();
     NodeQuarantineOptions {
         after_crashes: section.integer("after_crashes", 0..=8, Some(defaults.after_crashes)),
--- a/crates/pointvane-config/src/pack.rs
+++ b/crates/pointvane-config/src/pack.rs
@@ -1,7 +1,7 @@
-//! The one value that operators publish: a configuration with its digest.
+//! The value that operators publish: a configuration with its digest.
 //!
-//! Shape: JSON `{"digest": "<sha-256 hex>", "configuration": {...}}`; the digest is of the configuration's
-//! compact JSON. One value is whole or not at all.
+//! Format: JSON `{"digest": "<sha-256 hex>", "configuration": {...}}`. The digest covers the configuration's
+//! compact JSON, so a truncated or altered value is refused as a whole.
 
 use {
     crate::configuration::Configuration,
@@ -10,7 +10,7 @@
     std::fmt,
 };
 
-/// The platform's limit on one value, in bytes.
+/// Maximum size of a value that the platform stores, in bytes.
 pub const PACKED_LIMIT_BYTES: usize = 1_000_000;
 
 /// A configuration with its digest.
@@ -18,21 +18,21 @@
 pub struct Packed {
     /// SHA-256 of the configuration's compact JSON, as hex.
     pub digest: String,
-    /// The configuration.
+    /// The configuration that the digest covers.
     pub configuration: Configuration,
 }
 
 /// Why a value cannot be packed or unpacked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PackError {
-    /// It is larger than the platform's limit.
+    /// The value exceeds [`PACKED_LIMIT_BYTES`].
     TooLarge {
-        /// Its size.
+        /// Size of the value, in bytes.
         bytes: usize,
     },
-    /// It is no JSON of the expected shape.
+    /// The value is not JSON of the expected format.
     Malformed,
-    /// The digest does not match.
+    /// The digest does not match the configuration.
     Damaged,
 }
 
@@ -48,10 +48,10 @@
 
 impl std::error::Error for PackError {}
 
-/// Packs a configuration into the value to publish.
+/// Serializes a configuration with its digest for publication.
 ///
 /// # Errors
-/// [`PackError::TooLarge`] when it exceeds the platform's limit.
+/// [`PackError::TooLarge`] if the value exceeds [`PACKED_LIMIT_BYTES`].
 pub fn pack(configuration: &Configuration) -> Result<Vec<u8>, PackError> {
     let digest = digest(configuration)?;
     let packed = Packed { digest, configuration: configuration.clone() };
@@ -62,10 +62,10 @@
     Ok(value)
 }
 
-/// Reads a published value, whole or not at all.
+/// Parses a published value and verifies its digest.
 ///
 /// # Errors
-/// A [`PackError`] when any part of it is wrong.
+/// A [`PackError`] if the value is too large, malformed or does not match its digest.
 pub fn unpack(value: &[u8]) -> Result<Packed, PackError> {
     if value.len() > PACKED_LIMIT_BYTES {
         return Err(PackError::TooLarge { bytes: value.len() });
--- a/crates/pointvane-config/src/section.rs
+++ b/crates/pointvane-config/src/section.rs
@@ -1,4 +1,5 @@
-//! Typed access to one table of a document; what is wrong with a key becomes a fault of the document.
+//! Typed access to one table of a TOML document; invalid keys and values are recorded as faults of the
+//! document.
 
 use {
     crate::document::Document,
@@ -9,7 +10,7 @@
     },
 };
 
-/// One table of a document.
+/// One table of a document. An absent or invalid table reads as empty.
 pub struct Section<'d, 't> {
     document: &'d Document<'t>,
     table: Option<&'d DeTable<'t>>,
@@ -18,35 +19,35 @@
 }
 
 impl<'d, 't> Section<'d, 't> {
-    /// The document's top table.
-    pub fn top(document: &'d Document<'t>, table: &'d Spanned<DeTable<'t>>) -> Self {
+    /// Returns the document's root table.
+    pub fn root(document: &'d Document<'t>, table: &'d Spanned<DeTable<'t>>) -> Self {
         Self { document, table: Some(table.get_ref()), path: String::new(), offset: 0 }
     }
 
-    /// The byte offset at which the table or one of its keys starts.
+    /// Returns the byte offset of a key's value, or that of the table if the key is absent.
     pub fn offset_of(&self, key: &str) -> usize {
-        self.entry(key).map_or(self.offset, |value| value.span().start)
+        self.value(key).map_or(self.offset, |value| value.span().start)
     }
 
-    /// Notes a fault at a key of this table.
+    /// Records a fault at a key of this table.
     pub fn fault(&self, key: &str, problem: impl Into<String>, remedy: impl Into<String>) {
-        self.document.fault(self.offset_of(key), &self.full(key), problem.into(), remedy.into());
+        self.document.fault(self.offset_of(key), &self.key_path(key), problem.into(), remedy.into());
     }
 
-    /// Faults every key that is not in `known`.
-    pub fn only(&self, known: &[&str]) {
+    /// Records a fault for each key that is not in `known`.
+    pub fn reject_unknown_keys(&self, known: &[&str]) {
         let Some(table) = self.table else { return };
         for (key, _) in table.iter().filter(|(key, _)| !known.contains(&key.get_ref().as_ref())) {
-            let name = self.full(key.get_ref());
+            let name = self.key_path(key.get_ref());
             let remedy = format!("remove it, or use one of: {}", known.join(", "));
             self.document.fault(key.span().start, &name, "unknown key".into(), remedy);
         }
     }
 
-    /// A table below this one; an absent one reads as empty.
+    /// Returns a subtable; an absent one reads as empty.
     pub fn section(&self, key: &str) -> Section<'d, 't> {
-        let path = self.full(key);
-        let value = self.entry(key);
+        let path = self.key_path(key);
+        let value = self.value(key);
         let offset = value.map_or(self.offset, |value| value.span().start);
         let table = match value.map(Spanned::get_ref) {
             Some(DeValue::Table(table)) => Some(table),
@@ -59,13 +60,13 @@
         Section { document: self.document, table, path, offset }
     }
 
-    /// The tables of an array of tables.
+    /// Returns the elements of an array of tables; an absent array reads as empty.
     pub fn sections(&self, key: &str) -> Vec<Section<'d, 't>> {
-        let path = self.full(key);
-        match self.entry(key).map(Spanned::get_ref) {
+        let path = self.key_path(key);
+        match self.value(key).map(Spanned::get_ref) {
             Some(DeValue::Array(array)) => {
                 let tables = array.iter().enumerate();
-                tables.map(|(index, value)| self.element(&path, index, value)).collect()
+                tables.map(|(index, value)| self.array_element(&path, index, value)).collect()
             }
             Some(_) => {
                 self.fault(key, "not an array of tables", format!("write [[{path}]]"));
@@ -75,7 +76,7 @@
         }
     }
 
-    fn element(&self, path: &str, index: usize, value: &'d Spanned<DeValue<'t>>) -> Section<'d, 't> {
+    fn array_element(&self, path: &str, index: usize, value: &'d Spanned<DeValue<'t>>) -> Section<'d, 't> {
         let path = format!("{path}[{index}]");
         let offset = value.span().start;
         let table = match value.get_ref() {
@@ -88,14 +89,14 @@
         Section { document: self.document, table, path, offset }
     }
 
-    /// A whole number within a range; `default` none makes it required.
+    /// Reads an integer within `range`; the key is required if `default` is `None`.
     pub fn integer<T>(&self, key: &str, range: RangeInclusive<T>, default: Option<T>) -> T
     where
         T: Copy + PartialOrd + std::fmt::Display + FromStr,
     {
         let fallback = default.unwrap_or(*range.start());
         let remedy = || format!("give a whole number from {} to {}", range.start(), range.end());
-        let Some(value) = self.entry(key) else {
+        let Some(value) = self.value(key) else {
             if default.is_none() {
                 self.fault(key, "missing", remedy());
             }
@@ -114,10 +115,10 @@
         }
     }
 
-    /// A number within a range.
+    /// Reads an integer or floating-point number within `range`.
     pub fn number(&self, key: &str, range: RangeInclusive<f64>, default: f64) -> f64 {
         let remedy = || format!("give a number from {} to {}", range.start(), range.end());
-        let text = match self.entry(key).map(Spanned::get_ref) {
+        let text = match self.value(key).map(Spanned::get_ref) {
             None => return default,
             Some(DeValue::Float(float)) => float.as_str(),
             Some(DeValue::Integer(integer)) => integer.as_str(),
@@ -135,9 +136,9 @@
         }
     }
 
-    /// A truth value.
-    pub fn flag(&self, key: &str, default: bool) -> bool {
-        match self.entry(key).map(Spanned::get_ref) {
+    /// Reads a boolean.
+    pub fn boolean(&self, key: &str, default: bool) -> bool {
+        match self.value(key).map(Spanned::get_ref) {
             None => default,
             Some(DeValue::Boolean(flag)) => *flag,
             Some(_) => {
@@ -147,48 +148,48 @@
         }
     }
 
-    /// A text, required.
-    pub fn text(&self, key: &str, example: &str) -> String {
-        let remedy = format!("give a text such as \"{example}\"");
-        match self.entry(key).map(Spanned::get_ref) {
+    /// Reads a required, non-empty string; `example` is shown in the remedy.
+    pub fn string(&self, key: &str, example: &str) -> String {
+        let remedy = format!("give a string such as \"{example}\"");
+        match self.value(key).map(Spanned::get_ref) {
             Some(DeValue::String(text)) if !text.is_empty() => return text.to_string(),
             Some(DeValue::String(_)) => self.fault(key, "empty", remedy),
-            Some(_) => self.fault(key, "not a text", remedy),
+            Some(_) => self.fault(key, "not a string", remedy),
             None => self.fault(key, "missing", remedy),
         }
         String::new()
     }
 
-    /// A text, or a default when it is absent.
-    pub fn text_or(&self, key: &str, default: &str) -> String {
-        if self.entry(key).is_none() { default.into() } else { self.text(key, default) }
+    /// Reads a string, or returns `default` if the key is absent.
+    pub fn string_or(&self, key: &str, default: &str) -> String {
+        if self.value(key).is_none() { default.into() } else { self.string(key, default) }
     }
 
-    /// A text that reads as a `T`, such as an address; required.
+    /// Reads a required string and parses it as a `T`, such as an address.
     pub fn parsed<T: FromStr>(&self, key: &str, example: &str) -> Option<T> {
-        let text = self.text(key, example);
+        let text = self.string(key, example);
         if text.is_empty() {
             return None;
         }
         let value = text.parse().ok();
         if value.is_none() {
-            self.fault(key, format!("\"{text}\" cannot be used"), format!("write it like \"{example}\""));
+            self.fault(key, format!("\"{text}\" is not valid"), format!("write it like \"{example}\""));
         }
         value
     }
 
-    /// A text that reads as a `T`, or none when it is absent.
-    pub fn parsed_if_given<T: FromStr>(&self, key: &str, example: &str) -> Option<T> {
-        self.entry(key)?;
+    /// Reads a string and parses it as a `T`; returns `None` if the key is absent.
+    pub fn parsed_optional<T: FromStr>(&self, key: &str, example: &str) -> Option<T> {
+        self.value(key)?;
         self.parsed(key, example)
     }
 
-    /// One of the named choices.
+    /// Reads the name of one of `choices`.
     pub fn choice<T: Copy>(&self, key: &str, choices: &[(&str, T)], default: T) -> T {
-        if self.entry(key).is_none() {
+        if self.value(key).is_none() {
             return default;
         }
-        let text = self.text(key, choices[0].0);
+        let text = self.string(key, choices[0].0);
         let found = choices.iter().find(|(name, _)| *name == text);
         if found.is_none() && !text.is_empty() {
             let names: Vec<_> = choices.iter().map(|(name, _)| *name).collect();
@@ -197,31 +198,31 @@
         found.map_or(default, |(_, value)| *value)
     }
 
-    /// A list of texts.
-    pub fn texts(&self, key: &str) -> Vec<String> {
-        let remedy = "write a list of texts";
-        let Some(value) = self.entry(key) else {
+    /// Reads an array of strings; an absent array reads as empty.
+    pub fn strings(&self, key: &str) -> Vec<String> {
+        let remedy = "write an array of strings";
+        let Some(value) = self.value(key) else {
             return Vec::new();
         };
         let DeValue::Array(array) = value.get_ref() else {
-            self.fault(key, "not a list", remedy);
+            self.fault(key, "not an array", remedy);
             return Vec::new();
         };
-        let mut texts = Vec::new();
+        let mut strings = Vec::new();
         for element in array.iter() {
             match element.get_ref() {
-                DeValue::String(text) => texts.push(text.to_string()),
-                _ => self.fault(key, "holds something else than texts", remedy),
+                DeValue::String(text) => strings.push(text.to_string()),
+                _ => self.fault(key, "contains an element that is not a string", remedy),
             }
         }
-        texts
+        strings
     }
 
-    fn entry(&self, key: &str) -> Option<&'d Spanned<DeValue<'t>>> {
+    fn value(&self, key: &str) -> Option<&'d Spanned<DeValue<'t>>> {
         self.table?.get(key)
     }
 
-    fn full(&self, key: &str) -> String {
+    fn key_path(&self, key: &str) -> String {
         if self.path.is_empty() { key.into() } else { format!("{}.{key}", self.path) }
     }
 }
--- a/crates/pointvane-config/src/service_options.rs
+++ b/crates/pointvane-config/src/service_options.rs
@@ -1,27 +1,26 @@
-//! Options of a service in a file set, with their defaults.
-//!
-//! Figures that were measured are in docs/MEASUREMENTS.md, "Choosing" and after; the reasons are in docs/DESIGN.md.
+//! Options of a service in a file set, with their defaults. docs/DESIGN.md gives the reasons for them.
 
 use {
     pointvane_core::Name,
     serde::{Deserialize, Serialize},
 };
 
-/// Knowledge of load.
+/// Load tracking of upstreams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadOptions {
-    /// Upstreams compared for one choice.
+    /// Number of upstreams compared for one request.
     pub choices: u8,
-    /// Time in which half the trust in an observation of others' load is lost, as a share of the service's
-    /// mean answer time.
+    /// Half-life of the weight of load observed from other entry VMs, as a share of the service's mean
+    /// response time.
     pub half_life_share: f64,
-    /// Whether the load report in an upstream's answers is used.
+    /// Whether load reports in upstream responses are used.
     pub use_reports: bool,
-    /// Probes that all entry VMs together may send one upstream each second.
+    /// Maximum rate of probes to one upstream from all entry VMs together, per second.
     pub probes_per_s: f64,
-    /// Path that an upstream answers with its load report.
+    /// Path on which an upstream serves its load report.
     pub probe_path: Name,
-    /// Age of the last sign that an upstream is not leaving, in milliseconds, beyond which it is asked first.
+    /// Maximum age of the last evidence that an upstream is not leaving, in milliseconds; an upstream with
+    /// older evidence is queried before it gets a request.
     pub evidence_ms: u64,
 }
 
@@ -38,16 +37,16 @@
     }
 }
 
-/// Admission and queueing at an entry VM.
+/// Admission control and queueing on an entry VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionOptions {
-    /// Requests an upstream may hold beyond its slots, as a share of the slots.
+    /// Number of requests that an upstream may hold beyond its slots, as a share of the slots.
     pub queue_share: f64,
-    /// Requests that may wait at one entry VM.
+    /// Maximum number of requests queued on one entry VM.
     pub queue_max: u32,
-    /// Longest expected wait that is still accepted, in milliseconds.
+    /// Maximum expected queueing time of an admitted request, in milliseconds.
     pub wait_max_ms: u64,
-    /// One start in this many goes to routine work even while urgent work waits.
+    /// One in this many dequeued requests is routine even while urgent ones wait.
     pub routine_every: u8,
 }
 
@@ -57,12 +56,12 @@
     }
 }
 
-/// Retries of repeatable work.
+/// Retries of requests that are safe to repeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RetryOptions {
-    /// Attempts of one request, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub attempts_max: u8,
-    /// Retries earned by one success.
+    /// Retries added to the retry budget per successful request.
     pub budget_share: f64,
 }
 
@@ -72,14 +71,15 @@
     }
 }
 
-/// Hedges: a second attempt of slow repeatable work, on slack only.
+/// Hedging: a second attempt of a slow request that is safe to repeat, sent only to upstreams with spare
+/// capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HedgeOptions {
-    /// Share of requests that may be hedged; 0 switches hedging off.
+    /// Maximum share of requests that are hedged; 0 disables hedging.
     pub budget_share: f64,
-    /// Multiple of the usual answer time after which a hedge is considered.
+    /// Multiple of the typical response time after which a hedge is considered.
     pub after_factor: f64,
-    /// Share of its slots that an upstream may have in use and still take a hedge.
+    /// Maximum share of an upstream's slots that are in use when it is sent a hedge.
     pub slack_share: f64,
 }
 
@@ -92,13 +92,14 @@
 /// Ejection of failing upstreams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EjectionOptions {
-    /// Failures in a row that eject an upstream.
+    /// Number of consecutive failures after which an upstream is ejected.
     pub failures: u8,
-    /// First time of ejection, in milliseconds; doubled each time, up to 32 times.
+    /// Duration of the first ejection, in milliseconds; doubled by each further ejection up to 32 times this
+    /// value.
     pub base_ms: u64,
-    /// Largest share of a service's upstreams that may be ejected at once.
+    /// Maximum share of a service's upstreams that are ejected at once.
     pub share_max: f64,
-    /// Time over which a returning or new upstream is brought to full weight, in milliseconds.
+    /// Time over which the weight of a new or returning upstream rises to its full value, in milliseconds.
     pub warm_up_ms: u64,
 }
 
--- a/crates/pointvane-config/src/settings.rs
+++ b/crates/pointvane-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the three programs on one VM; all of a VM read the same file (`settings_file.rs`).
+//! Settings of the three programs on one VM, which all read the same file (`settings_file.rs`).
 
 use {
     pointvane_core::Name,
@@ -8,120 +8,121 @@
 /// The settings of one VM.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The VM itself.
+    /// Identity of the VM.
     pub vm: VmSettings,
-    /// The users' platform.
+    /// The users' platform, from which configurations and the list of VMs are read.
     pub platform: PlatformSettings,
-    /// Membership.
+    /// Membership protocol.
     pub mesh: MeshSettings,
-    /// The data path program.
+    /// The entry program.
     pub entry: EntrySettings,
     /// The control program.
     pub control: ControlSettings,
     /// The locate program.
     pub locate: LocateSettings,
-    /// The operator ports.
+    /// Operator ports.
     pub operator: OperatorSettings,
-    /// Logs.
+    /// Logging.
     pub log: LogSettings,
 }
 
-/// The VM itself.
+/// Identity of a VM.
 #[derive(Clone, Debug)]
 pub struct VmSettings {
-    /// Unique in the fleet.
+    /// Name of the VM, unique in the fleet.
     pub name: Name,
-    /// The data centre that the VM is in.
+    /// Data centre of the VM.
     pub data_centre: Name,
-    /// The VM's IP number, on which everything listens.
+    /// IP address of the VM; all ports are bound to it.
     pub address: IpAddr,
 }
 
-/// The users' platform.
+/// The users' platform, from which configurations and the list of VMs are read.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Where it answers.
+    /// Address of its HTTP interface.
     pub address: SocketAddr,
     /// Key of the packed configuration.
     pub configuration_key: Name,
     /// Key of the list of live and leaving VMs.
     pub vm_list_key: Name,
-    /// Entry VMs that read the platform at once; the others fetch from them.
+    /// Number of entry VMs that read the platform at once; the others fetch values from them.
     pub readers: u8,
 }
 
-/// Membership.
+/// Membership protocol.
 #[derive(Clone, Debug)]
 pub struct MeshSettings {
-    /// Control addresses that are contacted first after a start.
+    /// Control addresses contacted after a start to join the fleet.
     pub seeds: Vec<SocketAddr>,
     /// Time between two pings of members, in milliseconds.
     pub probe_interval_ms: u64,
-    /// Time from suspicion to death, in milliseconds.
+    /// Time after which a suspected member is declared dead, in milliseconds.
     pub suspect_ms: u64,
 }
 
-/// The data path program.
+/// The entry program, which forwards requests.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// TCP port for callers, and UDP port for load from other entry VMs.
+    /// TCP port for callers and UDP port for load reports from other entry VMs.
     pub port: u16,
-    /// Most connections of callers at once.
+    /// Maximum number of concurrent caller connections.
     pub connections_max: usize,
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_limit_bytes: usize,
-    /// Longest time for a whole head, and longest rest of a kept connection, in milliseconds.
+    /// Timeout for receiving a complete request head, and idle timeout of persistent connections, in
+    /// milliseconds.
     pub head_timeout_ms: u64,
-    /// Longest wait for work in flight at a planned stop, in milliseconds.
+    /// Maximum wait for requests in flight during a graceful shutdown, in milliseconds.
     pub stop_wait_ms: u64,
-    /// Threads that serve requests.
+    /// Number of threads that serve requests.
     pub worker_threads: usize,
 }
 
-/// The control program.
+/// The control program, which handles membership and configuration.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// UDP and TCP port for other VMs' control, and TCP for this VM's entry and locate.
+    /// UDP and TCP port for the control processes of other VMs; TCP also serves this VM's entry and locate.
     pub port: u16,
 }
 
-/// The locate program.
+/// The locate program, which tells callers which entry VMs to use.
 #[derive(Clone, Debug)]
 pub struct LocateSettings {
     /// TCP port for callers.
     pub port: u16,
-    /// Most entry VMs named in one answer.
+    /// Maximum number of entry VMs in one answer.
     pub addresses_max: u8,
 }
 
-/// The operator ports.
+/// TCP ports that serve status, events and metrics to operators.
 #[derive(Clone, Debug)]
 pub struct OperatorSettings {
-    /// The entry program's.
+    /// Port of the entry program.
     pub entry_port: u16,
-    /// The control program's.
+    /// Port of the control program.
     pub control_port: u16,
-    /// The locate program's.
+    /// Port of the locate program.
     pub locate_port: u16,
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// For programs.
+    /// One JSON object per line.
     Json,
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
-    /// Least level that is written.
+    /// Minimum level that is written.
     pub level: LogLevel,
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: LogFormat,
 }
 
-/// Level of a log line, as `slog` names them.
+/// Name of a `slog` log level, such as `info`.
 pub type LogLevel = &'static str;
--- a/crates/pointvane-config/src/settings_file.rs
+++ b/crates/pointvane-config/src/settings_file.rs
@@ -1,6 +1,6 @@
-//! Reading of the settings file of the three programs: keys, bounds and defaults.
+//! Reads the settings file of the three programs; defines its keys, bounds and defaults.
 //!
-//! Defaults and bounds were not measured, but for those that docs/OPERATIONS.md gives a reason for.
+//! docs/OPERATIONS.md gives the reasons for some of the defaults and bounds.
 
 use {
     crate::{
@@ -18,7 +18,7 @@
     },
 };
 
-/// Every key of the settings file with its default; docs/OPERATIONS.md is checked against this list.
+/// Every key of the settings file; a test compares docs/OPERATIONS.md with this list.
 pub const SETTING_KEYS: [&str; 24] = [
     "vm.name",
     "vm.data_centre",
@@ -46,68 +46,75 @@
     "log.format",
 ];
 
-/// The levels that a file may name; the first is the default.
+/// Accepted log levels.
 const LOG_LEVELS: [(&str, LogLevel); 4] =
     [("info", "info"), ("debug", "debug"), ("warning", "warning"), ("error", "error")];
-/// The formats that a file may name; the first is the default.
+/// Accepted log formats.
 const LOG_FORMATS: [(&str, LogFormat); 2] = [("text", LogFormat::Text), ("json", LogFormat::Json)];
-/// Stands for an address that cannot be read, until the file's faults are reported.
-const NOWHERE: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
+/// Placeholder for an invalid address; never used, since the file's faults are returned instead of its
+/// settings.
+const PLACEHOLDER_IP: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
-/// All its faults.
+/// All faults of the file.
 pub fn read_settings(path: &Path) -> Result<Settings, Faults> {
     read_file(path, read)
 }
 
-fn read(top: &Section<'_, '_>) -> Settings {
-    top.only(&["control", "entry", "locate", "log", "mesh", "operator", "platform", "vm"]);
+fn read(root: &Section<'_, '_>) -> Settings {
+    root.reject_unknown_keys(&["control", "entry", "locate", "log", "mesh", "operator", "platform", "vm"]);
     Settings {
-        vm: read_vm(&top.section("vm")),
-        platform: read_platform(&top.section("platform")),
-        mesh: read_mesh(&top.section("mesh")),
-        entry: read_entry(&top.section("entry")),
-        control: read_control(&top.section("control")),
-        locate: read_locate(&top.section("locate")),
-        operator: read_operator(&top.section("operator")),
-        log: read_log(&top.section("log")),
+        vm: read_vm(&root.section("vm")),
+        platform: read_platform(&root.section("platform")),
+        mesh: read_mesh(&root.section("mesh")),
+        entry: read_entry(&root.section("entry")),
+        control: read_control(&root.section("control")),
+        locate: read_locate(&root.section("locate")),
+        operator: read_operator(&root.section("operator")),
+        log: read_log(&root.section("log")),
     }
 }
 
 fn read_vm(section: &Section<'_, '_>) -> VmSettings {
-    section.only(&["address", "data_centre", "name"]);
-    let name = section.text("name", "entry-1");
-    let named_well = name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
-    if !named_well {
-        section.fault("name", "holds other than letters, digits and -", "write it like \"entry-1\"");
+    section.reject_unknown_keys(&["address", "data_centre", "name"]);
+    let name = section.string("name", "entry-1");
+    let is_valid_name = name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
+    if !is_valid_name {
+        section.fault(
+            "name",
+            "contains characters other than letters, digits and -",
+            "write it like \"entry-1\"",
+        );
     }
     VmSettings {
         name: name.as_str().into(),
-        data_centre: section.text("data_centre", "ub-1").as_str().into(),
-        address: section.parsed("address", "10.0.0.1").unwrap_or(NOWHERE),
+        data_centre: section.string("data_centre", "ub-1").as_str().into(),
+        address: section.parsed("address", "10.0.0.1").unwrap_or(PLACEHOLDER_IP),
     }
 }
 
 fn read_platform(section: &Section<'_, '_>) -> PlatformSettings {
-    section.only(&["address", "configuration_key", "readers", "vm_list_key"]);
+    section.reject_unknown_keys(&["address", "configuration_key", "readers", "vm_list_key"]);
     let address = section.parsed("address", "10.0.0.100:8500");
     PlatformSettings {
-        address: address.unwrap_or(SocketAddr::new(NOWHERE, 0)),
-        configuration_key: section.text("configuration_key", "pointvane/configuration").as_str().into(),
-        vm_list_key: section.text("vm_list_key", "pointvane/vms").as_str().into(),
+        address: address.unwrap_or(SocketAddr::new(PLACEHOLDER_IP, 0)),
+        configuration_key: section.string("configuration_key", "pointvane/configuration").as_str().into(),
+        vm_list_key: section.string("vm_list_key", "pointvane/vms").as_str().into(),
         readers: section.integer("readers", 1..=32, Some(3)),
     }
 }
 
 fn read_mesh(section: &Section<'_, '_>) -> MeshSettings {
-    section.only(&["probe_interval_ms", "seeds", "suspect_ms"]);
+    section.reject_unknown_keys(&["probe_interval_ms", "seeds", "suspect_ms"]);
     let mut seeds = Vec::new();
-    for text in section.texts("seeds") {
+    for text in section.strings("seeds") {
         match text.parse() {
             Ok(seed) => seeds.push(seed),
-            Err(_) => section.fault("seeds", format!("\"{text}\" is no address"), "write \"10.0.0.2:7001\""),
+            Err(_) => {
+                section.fault("seeds", format!("\"{text}\" is not an address"), "write \"10.0.0.2:7001\"")
+            }
         }
     }
     MeshSettings {
@@ -118,7 +125,7 @@
 }
 
 fn read_entry(section: &Section<'_, '_>) -> EntrySettings {
-    section.only(&[
+    section.reject_unknown_keys(&[
         "connections_max",
         "head_limit_bytes",
         "head_timeout_ms",
@@ -137,12 +144,12 @@
 }
 
 fn read_control(section: &Section<'_, '_>) -> ControlSettings {
-    section.only(&["port"]);
+    section.reject_unknown_keys(&["port"]);
     ControlSettings { port: section.integer("port", 1..=65_535, Some(7_001)) }
 }
 
 fn read_locate(section: &Section<'_, '_>) -> LocateSettings {
-    section.only(&["addresses_max", "port"]);
+    section.reject_unknown_keys(&["addresses_max", "port"]);
     LocateSettings {
         port: section.integer("port", 1..=65_535, Some(7_002)),
         addresses_max: section.integer("addresses_max", 1..=16, Some(3)),
@@ -150,7 +157,7 @@
 }
 
 fn read_operator(section: &Section<'_, '_>) -> OperatorSettings {
-    section.only(&["control_port", "entry_port", "locate_port"]);
+    section.reject_unknown_keys(&["control_port", "entry_port", "locate_port"]);
     OperatorSettings {
         entry_port: section.integer("entry_port", 1..=65_535, Some(7_010)),
         control_port: section.integer("control_port", 1..=65_535, Some(7_011)),
@@ -159,7 +166,7 @@
 }
 
 fn read_log(section: &Section<'_, '_>) -> LogSettings {
-    section.only(&["format", "level"]);
+    section.reject_unknown_keys(&["format", "level"]);
     LogSettings {
         level: section.choice("level", &LOG_LEVELS, "info"),
         format: section.choice("format", &LOG_FORMATS, LogFormat::Text),
--- a/crates/pointvane-config/src/stray_files.rs
+++ b/crates/pointvane-config/src/stray_files.rs
@@ -1,6 +1,6 @@
-//! Finding of what stands in a file set and is not read, such as a service's file with a wrong name.
+//! Finds files in a file set that are not read, such as a service file with the wrong extension.
 //!
-//! Hidden files are left to version control and editors.
+//! Hidden files are skipped, since version control and editors create them.
 
 use {
     crate::{
@@ -10,29 +10,30 @@
     std::{fs, path::Path},
 };
 
-/// A fault for each file and directory of a file set that nothing reads.
+/// Returns a fault for each file and directory in a file set that is not read.
 pub fn stray_files(directory: &Path) -> Faults {
-    let top = visible_names(directory).into_iter();
-    let top = top.filter(|name| name != FLEET_FILE && name != SERVICES_DIRECTORY);
+    let names = visible_names(directory).into_iter();
+    let names = names.filter(|name| name != FLEET_FILE && name != SERVICES_DIRECTORY);
     let mut faults: Vec<_> =
-        top.map(|name| stray(Path::new(&name), remedy_at_top(Path::new(&name)))).collect();
+        names.map(|name| stray_fault(Path::new(&name), remedy_at_root(Path::new(&name)))).collect();
     for name in visible_names(&directory.join(SERVICES_DIRECTORY)) {
         let path = Path::new(SERVICES_DIRECTORY).join(name);
         if !is_service_file(&path) {
-            faults.push(stray(&path, remedy_in_services(&path, directory.join(&path).is_dir())));
+            faults.push(stray_fault(&path, remedy_in_services(&path, directory.join(&path).is_dir())));
         }
     }
     Faults(faults)
 }
 
-/// The names in a directory; none if it cannot be read, which reading the file set reports.
+/// Returns the names in a directory without hidden ones. Returns none if it cannot be read; reading the file
+/// set reports that.
 fn visible_names(directory: &Path) -> Vec<String> {
     let entries = fs::read_dir(directory).into_iter().flatten().flatten();
     let names = entries.map(|entry| entry.file_name().to_string_lossy().into_owned());
     names.filter(|name| !name.starts_with('.')).collect()
 }
 
-fn remedy_at_top(path: &Path) -> String {
+fn remedy_at_root(path: &Path) -> String {
     if is_service_file(path) {
         let place = Path::new(SERVICES_DIRECTORY).join(path);
         format!("move it to {} if it describes a service, or remove it", place.display())
@@ -43,14 +44,14 @@
 
 fn remedy_in_services(path: &Path, is_directory: bool) -> String {
     if is_directory {
-        format!("move service files right into {SERVICES_DIRECTORY}/, or remove it")
+        format!("move service files directly into {SERVICES_DIRECTORY}/, or remove it")
     } else {
         let name = path.with_extension("toml");
         format!("rename it to {} if it describes a service, or remove it", name.display())
     }
 }
 
-fn stray(path: &Path, remedy: String) -> Fault {
+fn stray_fault(path: &Path, remedy: String) -> Fault {
     Fault {
         file: path.to_string_lossy().as_ref().into(),
         line: 1,
--- a/crates/pointvane-config/tests/docs.rs
+++ b/crates/pointvane-config/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The operators' page against the code.
+//! Checks that the reference pages in `docs/` and the deployed options file match the code.
 
 use {
     googletest::prelude::*,
@@ -7,7 +7,7 @@
 };
 
 #[gtest]
-fn the_settings_reference_lists_just_the_keys_that_the_code_reads() {
+fn the_settings_reference_lists_exactly_the_keys_that_the_code_reads() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/OPERATIONS.md");
     let page = fs::read_to_string(page).unwrap();
     let section = page.split("## Settings").nth(1).unwrap().split("## The file set").next().unwrap();
@@ -17,7 +17,7 @@
 }
 
 #[gtest]
-fn the_callers_page_lists_just_the_error_kinds_with_their_answers() {
+fn the_callers_page_lists_exactly_the_error_kinds_with_their_answers() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/CALLERS.md");
     let page = fs::read_to_string(page).unwrap();
     let section = page.split("`pointvane-error` names the kind:").nth(1).unwrap();
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn the_options_reference_lists_just_the_keys_that_the_code_reads() {
+fn the_options_reference_lists_exactly_the_keys_that_the_code_reads() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/OPERATIONS.md");
     let page = fs::read_to_string(page).unwrap();
     let section = page.split("### Options of a node").nth(1).unwrap().split("### ").next().unwrap();
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn all_faults_of_an_options_file_are_told_at_once() {
+fn all_faults_of_an_options_file_are_reported_at_once() {
     let file = std::env::temp_dir().join(format!("pointvane-options-{}", std::process::id()));
     fs::write(
         &file,
--- a/crates/pointvane-config/tests/file_formats.rs
+++ b/crates/pointvane-config/tests/file_formats.rs
@@ -1,4 +1,5 @@
-//! Keys, defaults and packed form of all files stay as they are.
+//! Guards file formats against accidental changes: keys and defaults of settings and options files, and the
+//! packed form of configurations, which processes of other versions read.
 
 use {
     googletest::prelude::*,
@@ -6,14 +7,14 @@
     std::{fs, path::PathBuf},
 };
 
-/// A packed file set with all defaults, as it is published.
+/// A packed file set with default values, as it is published.
 const PACKED: &str = include_str!("golden/packed.json");
-/// The settings that a file with only what must be there gives.
-const SETTINGS_DEFAULTS: &str = include_str!("golden/settings_defaults.txt");
-/// The settings that a file with every key gives.
-const SETTINGS_WHOLE: &str = include_str!("golden/settings_whole.txt");
+/// The settings read from [`SETTINGS_REQUIRED`], as returned by [`debug_values`].
+const SETTINGS_REQUIRED_VALUES: &str = include_str!("golden/settings_defaults.txt");
+/// The settings read from [`SETTINGS_ALL`], as returned by [`debug_values`].
+const SETTINGS_ALL_VALUES: &str = include_str!("golden/settings_whole.txt");
 
-const SETTINGS_LEAST: &str = r#"[vm]
+const SETTINGS_REQUIRED: &str = r#"[vm]
 name = "entry-1"
 data_centre = "ub-1"
 address = "10.0.0.1"
@@ -89,10 +90,10 @@
 address = "10.0.0.7:8080"
 "#;
 
-/// A file or directory of one test, gone with it.
-struct Scratch(PathBuf);
+/// A temporary directory of one test, removed on drop.
+struct TempDirectory(PathBuf);
 
-impl Scratch {
+impl TempDirectory {
     fn new(name: &str) -> Self {
         let directory = format!("pointvane-formats-{}-{name}", std::process::id());
         let directory = std::env::temp_dir().join(directory);
@@ -108,15 +109,16 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// The values of a type's debug form in order, without the names of types and fields, which may change.
-fn values(shown: &impl std::fmt::Debug) -> String {
-    let text = format!("{shown:#?}");
+/// Returns the values of a type's `Debug` output in order, without the names of types and fields, which may
+/// change.
+fn debug_values(item: &impl std::fmt::Debug) -> String {
+    let text = format!("{item:#?}");
     let value = |line: &str| {
         let value = line.split_once(": ").map_or(line, |(_, value)| value).trim();
         let opens = value.ends_with(['{', '(']);
@@ -126,17 +128,17 @@
 }
 
 #[gtest]
-fn every_key_of_the_settings_is_read_and_the_defaults_stay() {
-    let scratch = Scratch::new("settings");
-    let shown = |text| values(&read_settings(&scratch.file("vm.toml", text)).unwrap());
-    expect_that!(shown(SETTINGS_LEAST), eq(SETTINGS_DEFAULTS));
-    expect_that!(shown(SETTINGS_ALL), eq(SETTINGS_WHOLE));
+fn every_settings_key_is_read_and_the_defaults_are_unchanged() {
+    let temp = TempDirectory::new("settings");
+    let read_values = |text| debug_values(&read_settings(&temp.file("vm.toml", text)).unwrap());
+    expect_that!(read_values(SETTINGS_REQUIRED), eq(SETTINGS_REQUIRED_VALUES));
+    expect_that!(read_values(SETTINGS_ALL), eq(SETTINGS_ALL_VALUES));
 }
 
 #[gtest]
-fn every_key_of_the_options_is_read_and_the_defaults_stay() {
-    let scratch = Scratch::new("options");
-    let read = |text| read_node_options(&scratch.file("node.toml", text)).unwrap();
+fn every_options_key_is_read_and_the_defaults_are_unchanged() {
+    let temp = TempDirectory::new("options");
+    let read = |text| read_node_options(&temp.file("node.toml", text)).unwrap();
     expect_that!(read(""), eq(NodeOptions::default()));
     let options = format!("{:?}", read(OPTIONS_ALL));
     let values = [
@@ -159,11 +161,11 @@
 }
 
 #[gtest]
-fn a_packed_file_set_has_the_bytes_that_it_always_had_and_is_read() {
-    let scratch = Scratch::new("packed");
-    scratch.file("fleet.toml", FLEET);
-    scratch.file("services/dispatch.toml", SERVICE);
-    let configuration = read_directory(&scratch.0).unwrap();
+fn a_packed_file_set_matches_the_golden_bytes_and_is_read_back() {
+    let temp = TempDirectory::new("packed");
+    temp.file("fleet.toml", FLEET);
+    temp.file("services/dispatch.toml", SERVICE);
+    let configuration = read_directory(&temp.0).unwrap();
     let packed = String::from_utf8(pack(&configuration).unwrap()).unwrap();
     expect_that!(packed, eq(PACKED.trim_end()));
     expect_that!(unpack(PACKED.trim_end().as_bytes()).unwrap().configuration, eq(&configuration));
--- a/crates/pointvane-config/tests/files.rs
+++ b/crates/pointvane-config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Checking, packing and comparing of file sets and settings.
+//! Validation, packing and comparison of file sets, and validation of settings files.
 
 use {
     googletest::prelude::*,
@@ -13,7 +13,7 @@
     },
 };
 
-static DIRECTORIES: AtomicUsize = AtomicUsize::new(0);
+static NEXT_DIRECTORY: AtomicUsize = AtomicUsize::new(0);
 
 const FLEET: &str = "revision = 3\nentry_vms_max = 18\n";
 const SERVICE: &str = r#"name = "dispatch"
@@ -26,13 +26,13 @@
 address = "10.0.0.7:8080"
 "#;
 
-/// A directory of files of one test.
+/// A temporary directory with the files of one test, removed on drop.
 struct Files(PathBuf);
 
 impl Files {
     fn new(name: &str, files: &[(&str, &str)]) -> Self {
-        // Several tests read the good files at once, each from a directory of its own.
-        let number = DIRECTORIES.fetch_add(1, Ordering::Relaxed);
+        // Tests run in parallel and several use the same name, so the number keeps their directories apart.
+        let number = NEXT_DIRECTORY.fetch_add(1, Ordering::Relaxed);
         let directory = format!("pointvane-files-{}-{name}-{number}", std::process::id());
         let directory = std::env::temp_dir().join(directory);
         fs::create_dir_all(directory.join("services")).unwrap();
@@ -58,13 +58,13 @@
     }
 }
 
-fn good() -> Configuration {
+fn valid_configuration() -> Configuration {
     Files::new("good", &[("fleet.toml", FLEET), ("services/dispatch.toml", SERVICE)]).read().unwrap()
 }
 
 #[gtest]
-fn a_good_file_set_is_read_with_its_defaults() {
-    let configuration = good();
+fn a_valid_file_set_is_read_with_its_defaults() {
+    let configuration = valid_configuration();
     expect_that!(configuration.revision, eq(3));
     let service = &configuration.services[0];
     expect_that!(service.policy, eq(Policy::Shared));
@@ -112,7 +112,7 @@
 }
 
 #[gtest]
-fn two_services_may_share_neither_name_nor_route_nor_upstream() {
+fn services_with_the_same_name_route_or_upstream_are_refused() {
     let files = [("fleet.toml", FLEET), ("services/a.toml", SERVICE), ("services/b.toml", SERVICE)];
     let faults = Files::new("twins", &files).read().unwrap_err();
     let keys: Vec<_> = faults.iter().map(|(_, _, key)| key.as_str()).collect();
@@ -128,9 +128,9 @@
 }
 
 #[gtest]
-fn a_packed_value_is_whole_or_not_at_all() {
-    let value = pack(&good()).unwrap();
-    expect_that!(unpack(&value).unwrap().configuration, eq(&good()));
+fn truncated_and_altered_packed_values_are_refused() {
+    let value = pack(&valid_configuration()).unwrap();
+    expect_that!(unpack(&value).unwrap().configuration, eq(&valid_configuration()));
     for length in 0..value.len() {
         expect_that!(unpack(&value[..length]), err(anything()));
     }
@@ -139,16 +139,16 @@
 }
 
 #[gtest]
-fn a_value_beyond_the_platforms_limit_is_refused() {
-    let mut configuration = good();
+fn a_value_over_the_platform_size_limit_is_refused() {
+    let mut configuration = valid_configuration();
     let upstream = configuration.services[0].upstreams[0].clone();
     configuration.services[0].upstreams = vec![upstream; PACKED_LIMIT_BYTES / 60];
     expect_that!(pack(&configuration), err(matches_pattern!(PackError::TooLarge { .. })));
 }
 
 #[gtest]
-fn a_difference_is_told_in_words() {
-    let (old, mut new) = (good(), good());
+fn differences_are_described_as_text() {
+    let (old, mut new) = (valid_configuration(), valid_configuration());
     new.revision = 4;
     new.services[0].upstreams[0].slots = 8;
     new.services[0].policy = Policy::Random;
@@ -171,16 +171,17 @@
     expect_that!(faults.0.iter().all(|fault| !fault.remedy.is_empty()), eq(true));
 }
 
-/// The faults that a check finds, each as its file, line, key and problem, and all with a remedy.
-fn checked(files: &Files) -> Vec<(String, usize, String, String)> {
+/// Returns the file, line, key and problem of each fault that `check_directory` reports, and checks that each
+/// has a remedy.
+fn check_faults(files: &Files) -> Vec<(String, usize, String, String)> {
     let faults = check_directory(&files.0).map_or_else(|faults| faults.0, |_| Vec::new());
     expect_that!(faults, each(field!(Fault.remedy, not(eq("")))));
-    let told = faults.into_iter();
-    told.map(|fault| (fault.file.to_string(), fault.line, fault.key, fault.problem)).collect()
+    let reported = faults.into_iter();
+    reported.map(|fault| (fault.file.to_string(), fault.line, fault.key, fault.problem)).collect()
 }
 
 #[gtest]
-fn a_check_names_each_stray_file_and_reading_passes_it_over() {
+fn checking_reports_each_stray_file_and_reading_ignores_it() {
     let strays = [
         "README.md",
         "dispatch.toml",
@@ -194,8 +195,8 @@
     files.extend(strays.map(|stray| (stray, "")));
     let files = Files::new("strays", &files);
     let stray = |file: &str| (file.to_owned(), 1, "(file)".to_owned(), "nothing reads it".to_owned());
-    // A directory is named once, whatever it holds.
-    let named = [
+    // A stray directory is reported once, not once per file in it.
+    let reported = [
         "README.md",
         "dispatch.toml",
         "service",
@@ -204,12 +205,12 @@
         "services/old",
         "services/portal.TOML",
     ];
-    expect_that!(checked(&files), eq(&named.map(stray).to_vec()));
-    expect_that!(files.read(), ok(eq(&good())));
+    expect_that!(check_faults(&files), eq(&reported.map(stray).to_vec()));
+    expect_that!(files.read(), ok(eq(&valid_configuration())));
 }
 
 #[gtest]
-fn a_stray_files_remedy_says_where_it_would_be_read() {
+fn the_remedy_of_a_stray_file_names_the_path_where_it_would_be_read() {
     let strays = [("a.toml", ""), ("a.txt", ""), ("services/a.yaml", ""), ("services/b/a.toml", "")];
     let files = [&[("fleet.toml", FLEET), ("services/dispatch.toml", SERVICE)][..], &strays].concat();
     let files = Files::new("remedies", &files);
@@ -219,26 +220,29 @@
         "move it to services/a.toml if it describes a service, or remove it",
         "remove it, or keep it outside the file set",
         "rename it to services/a.toml if it describes a service, or remove it",
-        "move service files right into services/, or remove it",
+        "move service files directly into services/, or remove it",
     ];
     expect_that!(remedies, eq(&expected.to_vec()));
 }
 
 #[gtest]
-fn hidden_files_are_no_strays_and_strays_are_told_with_all_other_faults() {
+fn hidden_files_are_ignored_and_stray_files_are_reported_with_other_faults() {
     let hidden = [(".gitignore", ""), (".git/config", ""), ("services/.dispatch.toml.swp", "")];
-    let good = [("fleet.toml", FLEET), ("services/dispatch.toml", SERVICE)];
-    let files = Files::new("hidden", &[&good[..], &hidden].concat());
-    expect_that!(checked(&files), is_empty());
-    let files =
-        Files::new("mixed", &[("fleet.toml", "revision = 0\nentry_vms_max = 18\n"), good[1], ("a.txt", "")]);
-    let keys: Vec<_> = checked(&files).into_iter().map(|(file, line, key, _)| (file, line, key)).collect();
+    let valid_files = [("fleet.toml", FLEET), ("services/dispatch.toml", SERVICE)];
+    let files = Files::new("hidden", &[&valid_files[..], &hidden].concat());
+    expect_that!(check_faults(&files), is_empty());
+    let files = Files::new(
+        "mixed",
+        &[("fleet.toml", "revision = 0\nentry_vms_max = 18\n"), valid_files[1], ("a.txt", "")],
+    );
+    let keys: Vec<_> =
+        check_faults(&files).into_iter().map(|(file, line, key, _)| (file, line, key)).collect();
     let expected = [("a.txt", 1, "(file)"), ("fleet.toml", 1, "revision")];
     expect_that!(keys, eq(&expected.map(|(file, line, key)| (file.into(), line, key.into())).to_vec()));
 }
 
 #[gtest]
-fn each_key_that_nothing_reads_is_named_in_every_table() {
+fn unknown_keys_are_reported_in_every_table() {
     let fleet = format!("{FLEET}colour = 1\n");
     let service = format!(
         "colour = 2\n{SERVICE}colour = 3\n\n[load]\ncolour = 4\n\n[admission]\ncolour = 5\n\n[retry]\ncolour = 6\n\n\
@@ -259,7 +263,7 @@
         (service, 25, "ejection.colour"),
         (service, 27, "colours"),
     ];
-    expect_that!(checked(&files), eq(&expected.map(unknown).to_vec()));
+    expect_that!(check_faults(&files), eq(&expected.map(unknown).to_vec()));
     let faults = check_directory(&files.0).unwrap_err();
     expect_that!(faults.0, each(field!(Fault.remedy, starts_with("remove it, or use one of: "))));
 }
@@ -270,11 +274,14 @@
     let files = Files::new("evacuated", &[("fleet.toml", &fleet), ("services/dispatch.toml", SERVICE)]);
     let configuration = files.read().unwrap();
     expect_that!(configuration.services[0].upstreams.iter().all(|upstream| upstream.evacuated), eq(true));
-    expect_that!(good().services[0].upstreams.iter().any(|upstream| upstream.evacuated), eq(false));
+    expect_that!(
+        valid_configuration().services[0].upstreams.iter().any(|upstream| upstream.evacuated),
+        eq(false)
+    );
 }
 
 #[gtest]
-fn an_evacuated_data_centre_that_no_upstream_is_in_is_a_fault() {
+fn an_evacuated_data_centre_without_upstreams_is_a_fault() {
     let fleet = format!("evacuated = [\"ub-7\"]\n{FLEET}");
     let files = Files::new("nowhere", &[("fleet.toml", &fleet), ("services/dispatch.toml", SERVICE)]);
     let faults = files.read().unwrap_err();
