--- a/crates/pointvane-control/src/counters.rs
+++ b/crates/pointvane-control/src/counters.rs
@@ -1,11 +1,11 @@
-//! ControlCounters of the control process; docs/METRICS.md lists them.
+//! Metrics of the control process; docs/METRICS.md lists them.
 
 use opentelemetry::{
     KeyValue,
     metrics::{Counter, Meter},
 };
 
-/// ControlCounters of the control process.
+/// Counters of the control process.
 #[derive(Clone, Debug)]
 pub struct ControlCounters {
     sent_bytes: Counter<u64>,
@@ -17,7 +17,7 @@
 }
 
 impl ControlCounters {
-    /// The instruments of one process.
+    /// Creates the counters on `meter`.
     pub fn new(meter: &Meter) -> Self {
         let counter = |name: &'static str| meter.u64_counter(name).build();
         Self {
@@ -30,29 +30,29 @@
         }
     }
 
-    /// A datagram was sent; `bytes` counts the IP and UDP heads.
-    pub fn sent(&self, bytes: usize) {
+    /// Counts a sent datagram; `bytes` includes the IP and UDP headers.
+    pub fn record_sent(&self, bytes: usize) {
         self.sent_datagrams.add(1, &[]);
         self.sent_bytes.add(bytes as u64, &[]);
     }
 
-    /// A datagram was dropped.
-    pub fn dropped(&self) {
+    /// Counts a received datagram that could not be decoded.
+    pub fn record_dropped(&self) {
         self.dropped.add(1, &[]);
     }
 
-    /// The platform was asked once.
-    pub fn platform_read(&self, key: &'static str) {
+    /// Counts one read of the platform; `key` names the value read.
+    pub fn record_platform_read(&self, key: &'static str) {
         self.platform_reads.add(1, &[KeyValue::new("key", key)]);
     }
 
-    /// A value came from a peer.
-    pub fn fetched(&self, bytes: usize) {
+    /// Counts the bytes of a value fetched from a peer.
+    pub fn record_fetched(&self, bytes: usize) {
         self.fetched_bytes.add(bytes as u64, &[]);
     }
 
-    /// A value went to a peer.
-    pub fn served(&self, bytes: usize) {
+    /// Counts the bytes of a value served to a peer.
+    pub fn record_served(&self, bytes: usize) {
         self.served_bytes.add(bytes as u64, &[]);
     }
 }
--- a/crates/pointvane-control/src/fetch.rs
+++ b/crates/pointvane-control/src/fetch.rs
@@ -1,9 +1,10 @@
-//! Streams to other controls: values to fetch, rows to exchange, peers to ask after a start.
+//! Connections to other control processes: fetches values, exchanges member rows and contacts peers after a
+//! start.
 
 use {
     crate::{
         state::State,
-        value::{FetchOrder, ValueKind},
+        value::{FetchRequest, ValueKind},
     },
     pointvane_core::VmState,
     pointvane_mesh::{FeedHello, FeedRole, MemberRow, Offer, OfferVerdict, PeerAnswer, PeerRequest, codec},
@@ -17,59 +18,63 @@
     },
 };
 
-/// Longest time for a connection to a peer. Not measured.
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time for a peer's answer. Not measured.
+/// Timeout for a peer's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Peers that must tell what they hold before a new process trusts the platform.
-const ASKED_MIN: usize = 3;
-/// Time between two exchanges of all rows with a random member.
+/// Number of seeds with a configuration that a new process queries before it trusts the platform; fewer if
+/// fewer have one.
+const SEED_ANSWERS_MIN: usize = 3;
+/// Interval of anti-entropy: the exchange of all member rows with a random member.
 const EXCHANGE_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Fetches what is ordered, for as long as the process lives.
-pub fn fetch_ordered(state: &State, orders: &Receiver<FetchOrder>) {
-    while let Ok(order) = orders.recv() {
-        let request = match order.kind {
+/// Fetches the requested values for the lifetime of the process.
+pub fn run_fetches(state: &State, requests: &Receiver<FetchRequest>) {
+    while let Ok(fetch) = requests.recv() {
+        let request = match fetch.kind {
             ValueKind::Configuration => PeerRequest::Configuration,
             ValueKind::VmList => PeerRequest::VmList,
         };
-        if let Ok(PeerAnswer::Value(Some(stored))) = ask(order.from, &request) {
-            state.counters.fetched(stored.value.len());
-            state.offer(order.kind, Offer::Peer(stored));
+        if let Ok(PeerAnswer::Value(Some(stored))) = send_request(fetch.from, &request) {
+            state.counters.record_fetched(stored.value.len());
+            state.offer(fetch.kind, Offer::Peer(stored));
         }
     }
 }
 
-/// Asks several peers after a start, then exchanges all rows with a random member from time to time.
-pub fn keep_in_step(state: &State) {
-    ask_seeds(state);
+/// Contacts the seeds after a start, then exchanges all rows with a random member every
+/// [`EXCHANGE_INTERVAL`].
+pub fn run_anti_entropy(state: &State) {
+    sync_with_seeds(state);
     loop {
         thread::sleep(EXCHANGE_INTERVAL);
         let peer = {
-            let core = state.lock();
-            let others = core.membership.rows().skip(1).filter(|row| row.state != VmState::Dead);
+            let inner = state.lock();
+            let others = inner.membership.rows().skip(1).filter(|row| row.state != VmState::Dead);
             others.map(MemberRow::control_address).choose(&mut rand::rng())
         };
         if let Some(peer) = peer {
-            // The next exchange makes up for one that fails.
-            let _ = learn_rows(state, peer);
+            // After a failure the next exchange brings the rows up to date.
+            let _ = exchange_rows_with(state, peer);
         }
     }
 }
 
-fn ask_seeds(state: &State) {
-    let me = SocketAddr::new(state.settings.vm.address, state.settings.control.port);
-    let mut seeds: Vec<_> = state.settings.mesh.seeds.iter().copied().filter(|seed| *seed != me).collect();
+fn sync_with_seeds(state: &State) {
+    let own_address = SocketAddr::new(state.settings.vm.address, state.settings.control.port);
+    let mut seeds: Vec<_> =
+        state.settings.mesh.seeds.iter().copied().filter(|seed| *seed != own_address).collect();
     seeds.shuffle(&mut rand::rng());
-    let wanted = ASKED_MIN.min(seeds.len());
+    let required = SEED_ANSWERS_MIN.min(seeds.len());
     let mut answered = 0;
     for seed in seeds {
-        if learn_rows(state, seed).is_err() {
+        if exchange_rows_with(state, seed).is_err() {
             continue;
         }
-        // One that holds nothing yet, such as one that starts beside this, has nothing to say on the order.
-        answered += usize::from(learn_values(state, seed).unwrap_or(false));
-        if answered == wanted {
+        // A peer without a configuration, such as one that starts at the same time, does not count: it
+        // cannot tell which configuration is the newest.
+        answered += usize::from(fetch_values(state, seed).unwrap_or(false));
+        if answered == required {
             break;
         }
     }
@@ -78,28 +83,28 @@
     }
 }
 
-fn learn_rows(state: &State, peer: SocketAddr) -> io::Result<()> {
-    let own = state.lock().membership.rows().cloned().collect();
-    if let PeerAnswer::Rows(rows) = ask(peer, &PeerRequest::Rows(own))? {
+fn exchange_rows_with(state: &State, peer: SocketAddr) -> io::Result<()> {
+    let own_rows = state.lock().membership.rows().cloned().collect();
+    if let PeerAnswer::Rows(rows) = send_request(peer, &PeerRequest::Rows(own_rows))? {
         state.exchange_rows(&rows);
     }
     Ok(())
 }
 
-/// Whether the peer held a configuration.
-fn learn_values(state: &State, peer: SocketAddr) -> io::Result<bool> {
-    let mut held = false;
-    if let PeerAnswer::Value(Some(stored)) = ask(peer, &PeerRequest::Configuration)? {
+/// Fetches both values from a peer; returns whether the peer had a valid configuration.
+fn fetch_values(state: &State, peer: SocketAddr) -> io::Result<bool> {
+    let mut has_configuration = false;
+    if let PeerAnswer::Value(Some(stored)) = send_request(peer, &PeerRequest::Configuration)? {
         let verdict = state.offer(ValueKind::Configuration, Offer::Peer(stored));
-        held = verdict.is_some_and(|verdict| verdict != OfferVerdict::Held);
+        has_configuration = verdict.is_some_and(|verdict| verdict != OfferVerdict::Held);
     }
-    if let PeerAnswer::Value(Some(stored)) = ask(peer, &PeerRequest::VmList)? {
+    if let PeerAnswer::Value(Some(stored)) = send_request(peer, &PeerRequest::VmList)? {
         state.offer(ValueKind::VmList, Offer::Peer(stored));
     }
-    Ok(held)
+    Ok(has_configuration)
 }
 
-fn ask(peer: SocketAddr, request: &PeerRequest) -> io::Result<PeerAnswer> {
+fn send_request(peer: SocketAddr, request: &PeerRequest) -> io::Result<PeerAnswer> {
     let mut stream = TcpStream::connect_timeout(&peer, CONNECT_TIMEOUT)?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     stream.set_write_timeout(Some(ANSWER_TIMEOUT))?;
--- a/crates/pointvane-control/src/gossip.rs
+++ b/crates/pointvane-control/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The thread that receives datagrams and takes the time.
+//! The gossip thread: receives datagrams and drives the membership timers.
 
 use {
     crate::state::State,
@@ -10,22 +10,22 @@
     },
 };
 
-/// Ticks in one probe interval.
+/// Number of timer ticks per probe interval.
 const TICKS_PER_INTERVAL: u32 = 10;
 
-/// Receives and ticks until `stop`.
+/// Receives datagrams and ticks until `stop` is set, or until the socket's timeout cannot be set.
 pub fn gossip(state: &State, socket: &UdpSocket, stop: &AtomicBool) {
-    let tick = Duration::from_millis(state.settings.mesh.probe_interval_ms) / TICKS_PER_INTERVAL;
-    let mut next = Instant::now();
+    let tick_interval = Duration::from_millis(state.settings.mesh.probe_interval_ms) / TICKS_PER_INTERVAL;
+    let mut next_tick = Instant::now();
     let mut buffer = [0; codec::DATAGRAM_LIMIT_BYTES];
     while !stop.load(Ordering::Relaxed) {
         let now = Instant::now();
-        if now >= next {
+        if now >= next_tick {
             state.tick();
-            next = now + tick;
+            next_tick = now + tick_interval;
         }
-        let left = next.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
-        if socket.set_read_timeout(Some(left)).is_err() {
+        let timeout = next_tick.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+        if socket.set_read_timeout(Some(timeout)).is_err() {
             return;
         }
         let Ok((length, from)) = socket.recv_from(&mut buffer) else {
@@ -33,7 +33,7 @@
         };
         match codec::decode(&buffer[..length]) {
             Ok(message) => state.receive(from, &message),
-            Err(_) => state.counters.dropped(),
+            Err(_) => state.counters.record_dropped(),
         }
     }
 }
--- a/crates/pointvane-control/src/lib.rs
+++ b/crates/pointvane-control/src/lib.rs
@@ -1,7 +1,7 @@
-//! The control process of one VM: membership, spread of configuration, reading of the platform, and the feed
-//! of this VM's entry and locate.
+//! The control process of a VM: takes part in membership, distributes configurations, reads the platform and
+//! feeds this VM's entry and locate processes.
 //!
-//! Plain threads around one locked `state::State`; the decisions are `pointvane-mesh`'s.
+//! Threads share one `state::State` behind a mutex; `pointvane-mesh` implements the protocols.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/pointvane-control/src/main.rs
+++ b/crates/pointvane-control/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `pointvane-control`.
+//! The `pointvane-control` program.
 #![forbid(unsafe_code)]
 
 use {
--- a/crates/pointvane-control/src/platform.rs
+++ b/crates/pointvane-control/src/platform.rs
@@ -1,6 +1,6 @@
-//! The platform over its published HTTP interface, by `ureq`.
+//! Client of the platform's HTTP interface, based on `ureq`.
 //!
-//! Shape: `GET /v1/kv/KEY?index=N&wait=10s` answers once the key's `ModifyIndex` exceeds N or the wait is
+//! `GET /v1/kv/KEY?index=N&wait=10s` answers once the key's `ModifyIndex` exceeds N or the wait is
 //! over, with `[{"Value": "<base64>", "ModifyIndex": N}]`, or 404 while nothing is published.
 
 use {
@@ -11,18 +11,18 @@
     ureq::{Agent, http::HeaderMap},
 };
 
-/// Longest wait of a watch, in seconds, as it is asked of the platform. Not measured.
+/// Maximum wait of a watch that is requested from the platform, in seconds.
 const WAIT_S: u64 = 10;
-/// Time beyond the wait itself, for the platform's own delays. Not measured.
-const SLACK: Duration = Duration::from_secs(3);
-/// Largest body read: a value of a megabyte in base64, with its frame.
+/// Time that the platform may take to respond after the wait of a watch has ended.
+const RESPONSE_DELAY_MAX: Duration = Duration::from_secs(3);
+/// Maximum size of a response body: a value of 1 MB in base64 with its JSON object.
 const BODY_LIMIT_BYTES: u64 = 2 << 20;
-/// Status while nothing is published under a key.
+/// Status of a watch on a key without a value.
 const STATUS_NOT_FOUND: u16 = 404;
-/// Header with the platform's write count.
+/// Header with the platform's modify index, which grows with each write.
 const INDEX_HEADER: &str = "x-consul-index";
 
-/// The platform at one address.
+/// HTTP client of the platform at one address.
 #[derive(Debug)]
 pub struct HttpPlatform {
     agent: Agent,
@@ -37,16 +37,17 @@
 }
 
 impl HttpPlatform {
-    /// A client that follows nothing, takes no proxy from its environment and gives up after the wait.
+    /// Creates a client that follows no redirects, ignores proxy settings of the environment and times out
+    /// shortly after the maximum wait of a watch.
     pub fn new(address: SocketAddr) -> Self {
-        let config = Agent::config_builder()
+        let agent_config = Agent::config_builder()
             .proxy(None)
             .max_redirects(0)
             .http_status_as_error(false)
             .timeout_connect(Some(Duration::from_secs(1)))
-            .timeout_global(Some(Duration::from_secs(WAIT_S) + SLACK))
+            .timeout_global(Some(Duration::from_secs(WAIT_S) + RESPONSE_DELAY_MAX))
             .build();
-        Self { agent: config.into(), address }
+        Self { agent: agent_config.into(), address }
     }
 }
 
@@ -55,7 +56,7 @@
         let url = format!("http://{}/v1/kv/{key}?index={after_index}&wait={WAIT_S}s", self.address);
         let mut response = self.agent.get(&url).call().map_err(|_| PlatformError::Unavailable)?;
         if response.status().as_u16() == STATUS_NOT_FOUND {
-            return Ok(PlatformReading { index: index(response.headers())?, value: None });
+            return Ok(PlatformReading { index: parse_index(response.headers())?, value: None });
         }
         if !response.status().is_success() {
             return Err(PlatformError::Unavailable);
@@ -68,11 +69,11 @@
     }
 }
 
-/// The write count that an answer without a value carries.
+/// Parses the modify index of a response without a value.
 ///
-/// One that is missing or no number is an error, and no count of 0: with that the next watch would return at once, and so
-/// would all that follow.
-fn index(headers: &HeaderMap) -> Result<u64, PlatformError> {
+/// A missing or malformed index is an error: if it were read as 0, this watch and all later ones would return
+/// immediately.
+fn parse_index(headers: &HeaderMap) -> Result<u64, PlatformError> {
     let text = headers.get(INDEX_HEADER).and_then(|value| value.to_str().ok());
     text.and_then(|text| text.parse().ok()).ok_or(PlatformError::Malformed)
 }
--- a/crates/pointvane-control/src/reader.rs
+++ b/crates/pointvane-control/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of one published value for all VMs, while this VM is one of the readers.
+//! Reads one published value from the platform while this VM is one of the fleet's readers.
 
 use {
     crate::{state::State, value::ValueKind},
@@ -10,38 +10,38 @@
     std::{thread, time::Duration},
 };
 
-/// Time between two checks whether it is this VM's turn to read. Not measured.
-const IDLE: Duration = Duration::from_millis(100);
-/// First pause after a failed read, in milliseconds; it doubles. Not measured.
-const BACK_OFF_MIN_MS: u64 = 200;
-/// Longest pause after failed reads, in milliseconds. Not measured.
-const BACK_OFF_MAX_MS: u64 = 5_000;
-/// Shortest time between two reads, so that a value that changes all the time costs a bounded rate.
+/// Interval at which a VM that is not a reader checks whether it has become one.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Initial backoff after a failed read, in milliseconds; each further failure doubles it.
+const BACKOFF_MIN_MS: u64 = 200;
+/// Maximum backoff after failed reads, in milliseconds.
+const BACKOFF_MAX_MS: u64 = 5_000;
+/// Minimum time between two reads; bounds the read rate for a value that changes constantly.
 const READ_INTERVAL_MIN: Duration = Duration::from_millis(100);
 
-/// Reads one key for as long as the process lives.
+/// Reads one key of the platform for the lifetime of the process.
 #[derive(Debug)]
 pub struct Reader<'s, P> {
     state: &'s State,
     platform: P,
     kind: ValueKind,
     index: u64,
-    back_off_ms: u64,
-    lost: bool,
+    backoff_ms: u64,
+    platform_lost: bool,
 }
 
 impl<'s, P: Platform> Reader<'s, P> {
-    /// A reader that has seen nothing.
+    /// Creates a reader that has not read a value yet.
     pub fn new(state: &'s State, platform: P, kind: ValueKind) -> Self {
-        Self { state, platform, kind, index: 0, back_off_ms: BACK_OFF_MIN_MS, lost: false }
+        Self { state, platform, kind, index: 0, backoff_ms: BACKOFF_MIN_MS, platform_lost: false }
     }
 
-    /// Reads while it is this VM's turn.
+    /// Reads while this VM is a reader; never returns.
     pub fn run(mut self) {
         loop {
             if !self.state.reads_platform() {
                 self.index = 0;
-                thread::sleep(IDLE);
+                thread::sleep(ROLE_CHECK_INTERVAL);
                 continue;
             }
             self.read();
@@ -49,44 +49,45 @@
     }
 
     fn read(&mut self) {
-        self.state.counters.platform_read(self.kind.as_str());
+        self.state.counters.record_platform_read(self.kind.as_str());
         let key = match self.kind {
             ValueKind::Configuration => &self.state.settings.platform.configuration_key,
             ValueKind::VmList => &self.state.settings.platform.vm_list_key,
         };
         match self.platform.watch(&Name::clone(key), self.index) {
             Ok(reading) => {
-                self.back_off_ms = BACK_OFF_MIN_MS;
-                self.note_lost(false);
-                self.take(reading);
+                self.backoff_ms = BACKOFF_MIN_MS;
+                self.set_platform_lost(false);
+                self.process(reading);
                 thread::sleep(READ_INTERVAL_MIN);
             }
             Err(_) => {
-                self.note_lost(true);
-                // Random, so that the readers do not come back together.
-                let pause_ms = rand::rng().random_range(self.back_off_ms / 2..=self.back_off_ms);
+                self.set_platform_lost(true);
+                // Jitter keeps the readers from retrying at the same time.
+                let pause_ms = rand::rng().random_range(self.backoff_ms / 2..=self.backoff_ms);
                 thread::sleep(Duration::from_millis(pause_ms));
-                self.back_off_ms = (self.back_off_ms * 2).min(BACK_OFF_MAX_MS);
+                self.backoff_ms = (self.backoff_ms * 2).min(BACKOFF_MAX_MS);
             }
         }
     }
 
-    fn note_lost(&mut self, lost: bool) {
-        // Both values come from the same platform: one of the two readers tells.
-        if self.lost != lost && self.kind == ValueKind::Configuration {
+    fn set_platform_lost(&mut self, lost: bool) {
+        // Both values come from the same platform, so only the reader of the configuration logs the event.
+        if self.platform_lost != lost && self.kind == ValueKind::Configuration {
             self.state.events.note(if lost { EventKind::PlatformLost } else { EventKind::PlatformBack });
         }
-        self.lost = lost;
+        self.platform_lost = lost;
     }
 
-    fn take(&mut self, reading: PlatformReading) {
+    fn process(&mut self, reading: PlatformReading) {
         if reading.index < self.index && self.kind == ValueKind::Configuration {
-            // Restored from an older copy. What is in force stays; only a larger revision replaces it.
+            // The platform was restored from an older backup. The current configuration stays in force until
+            // one with a larger revision is published.
             self.state.events.note(EventKind::PlatformWentBack { from: self.index, to: reading.index });
         }
-        let seen = reading.index == self.index;
+        let unchanged = reading.index == self.index;
         self.index = reading.index;
-        let Some(value) = reading.value.filter(|_| !seen) else {
+        let Some(value) = reading.value.filter(|_| !unchanged) else {
             return;
         };
         let revision = match self.kind {
@@ -95,7 +96,7 @@
                 Ok(packed) => packed.configuration.revision,
                 Err(error) => {
                     let stamp = Stamp { revision: 0, index: reading.index };
-                    return self.state.refuse(stamp, &error.to_string());
+                    return self.state.log_refusal(stamp, &error.to_string());
                 }
             },
         };
--- a/crates/pointvane-control/src/run.rs
+++ b/crates/pointvane-control/src/run.rs
@@ -1,15 +1,15 @@
-//! The life of the process.
+//! Startup and shutdown of the control process.
 
 use {
     crate::{
         counters::ControlCounters,
-        fetch::{fetch_ordered, keep_in_step},
+        fetch::{run_anti_entropy, run_fetches},
         gossip::gossip,
         platform::HttpPlatform,
         reader::Reader,
         serve::serve,
         state::State,
-        value::{FetchOrder, ValueKind},
+        value::{FetchRequest, ValueKind},
     },
     eyre::{Result, WrapErr},
     pointvane_config::Settings,
@@ -30,13 +30,13 @@
     },
 };
 
-/// Time between two checks for a signal.
+/// Interval at which the stop flag is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs the control until it is stopped.
+/// Runs the control process until it gets SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When it cannot start.
+/// If a signal handler or the metrics cannot be set up, or a port cannot be bound.
 pub fn run(settings: Settings, log: slog::Logger) -> Result<()> {
     let stop = stop_on_signals()?;
     let address = SocketAddr::new(settings.vm.address, settings.control.port);
@@ -46,14 +46,14 @@
     let metrics = Arc::new(Metrics::new()?);
     let events = Arc::new(EventLog::new(settings.vm.name.clone(), Program::Control, log));
     let counters = ControlCounters::new(&metrics.meter());
-    let (fetches, orders) = mpsc::channel();
+    let (fetch_sender, fetch_requests) = mpsc::channel();
     let platform_address = settings.platform.address;
-    let state = State::new(settings, Arc::clone(&events), counters, socket.try_clone()?, fetches);
+    let state = State::new(settings, Arc::clone(&events), counters, socket.try_clone()?, fetch_sender);
     let state = Arc::new(state);
     let _operator = serve_operator(operator, metrics, Arc::clone(&events), Arc::clone(&state))?;
 
-    start_readers(&state, platform_address, orders);
-    start_exchange(&state, socket, listener, Arc::clone(&stop));
+    start_readers(&state, platform_address, fetch_requests);
+    start_servers(&state, socket, listener, Arc::clone(&stop));
     events.note(EventKind::Started);
 
     while !stop.load(Ordering::Relaxed) {
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-/// A flag that is set once the process is asked to stop.
+/// Returns a flag that is set on SIGTERM or SIGINT.
 fn stop_on_signals() -> Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
     flag::register(SIGTERM, Arc::clone(&stop))?;
@@ -74,20 +74,21 @@
     Ok(stop)
 }
 
-/// Starts the threads that fetch values, from other VMs and from the platform.
-fn start_readers(state: &Arc<State>, platform: SocketAddr, orders: Receiver<FetchOrder>) {
-    spawn(state, move |state| fetch_ordered(state, &orders));
-    spawn(state, keep_in_step);
+/// Starts the threads that read values from other VMs and from the platform.
+fn start_readers(state: &Arc<State>, platform: SocketAddr, fetch_requests: Receiver<FetchRequest>) {
+    spawn(state, move |state| run_fetches(state, &fetch_requests));
+    spawn(state, run_anti_entropy);
     for kind in [ValueKind::Configuration, ValueKind::VmList] {
         let platform = HttpPlatform::new(platform);
         spawn(state, move |state| Reader::new(state, platform, kind).run());
     }
 }
 
-/// Starts the threads that serve the feed and other VMs, and gossip until `stop` is set.
-fn start_exchange(state: &Arc<State>, socket: UdpSocket, listener: TcpListener, stop: Arc<AtomicBool>) {
-    let serving = Arc::clone(state);
-    thread::spawn(move || serve(&serving, &listener));
+/// Starts the threads that serve the feed and other VMs, and the gossip thread, which runs until `stop` is
+/// set.
+fn start_servers(state: &Arc<State>, socket: UdpSocket, listener: TcpListener, stop: Arc<AtomicBool>) {
+    let server_state = Arc::clone(state);
+    thread::spawn(move || serve(&server_state, &listener));
     spawn(state, move |state| gossip(state, &socket, &stop));
 }
 
--- a/crates/pointvane-control/src/serve.rs
+++ b/crates/pointvane-control/src/serve.rs
@@ -1,4 +1,4 @@
-//! Streams from this VM's entry and locate, and from other controls.
+//! Serves connections from this VM's entry and locate processes and from other control processes.
 
 use {
     crate::{state::State, value::ValueKind},
@@ -15,20 +15,23 @@
     },
 };
 
-/// Longest time for the first message on a stream. Not measured.
+/// Timeout for the first message on a stream, and for each write.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Streams served at once; more are closed unanswered.
+/// Maximum number of streams served at once; further ones are closed without an answer.
 const STREAMS_MAX: usize = 256;
-/// Time between two beats on a quiet stream. Not measured: a quarter of the silence that the other side bears.
-const BEAT: Duration = Duration::from_secs(1);
-/// Shortest time between two transmissions of all members.
-const MEMBERS_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest silence of an entry that runs; it reports ten times a second.
-const ENTRY_SILENCE_MAX: Duration = Duration::from_secs(2);
-/// Pause after an accept that failed, as when descriptors run out.
+/// Interval of heartbeats on a feed without updates: a quarter of the 4 s without data after which
+/// `pointvane-feed` closes the stream.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum wait for a change before a feed compares its state again; a tenth of it passes between two
+/// comparisons.
+const FEED_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout for reports of the entry, which sends ten per second; an entry without reports is taken as
+/// stopped.
+const ENTRY_REPORT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after a failed accept, such as one that failed for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts streams for as long as the process lives.
+/// Accepts streams for the lifetime of the process.
 pub fn serve(state: &Arc<State>, listener: &TcpListener) {
     let streams = Arc::new(AtomicUsize::new(0));
     for stream in listener.incoming() {
@@ -42,7 +45,7 @@
         }
         let (state, streams) = (Arc::clone(state), Arc::clone(&streams));
         thread::spawn(move || {
-            // A stream that breaks concerns its other end, which comes again.
+            // The peer of a broken stream reconnects.
             let _ = serve_stream(&state, stream);
             streams.fetch_sub(1, Ordering::Relaxed);
         });
@@ -58,24 +61,24 @@
     match hello.role {
         FeedRole::Peer => {
             let request: PeerRequest = codec::read_frame(&mut reader)?;
-            codec::write_frame(&mut stream, &answer(state, request))
+            codec::write_frame(&mut stream, &answer_request(state, request))
         }
-        FeedRole::Locate => feed(state, stream),
+        FeedRole::Locate => send_feed(state, stream),
         FeedRole::Entry => thread::scope(|scope| {
-            let telling = stream.try_clone()?;
-            scope.spawn(move || feed(state, telling));
-            let ended = hear_entry(state, reader);
-            state.entry_told(None);
+            let feed_stream = stream.try_clone()?;
+            scope.spawn(move || send_feed(state, feed_stream));
+            let result = read_entry_reports(state, reader);
+            state.set_entry_report(None);
             stream.shutdown(std::net::Shutdown::Both)?;
-            ended
+            result
         }),
     }
 }
 
-fn answer(state: &State, request: PeerRequest) -> PeerAnswer {
+fn answer_request(state: &State, request: PeerRequest) -> PeerAnswer {
     let value = |kind| {
         let stored = state.held(kind);
-        state.counters.served(stored.as_ref().map_or(0, |stored| stored.value.len()));
+        state.counters.record_served(stored.as_ref().map_or(0, |stored| stored.value.len()));
         PeerAnswer::Value(stored)
     };
     match request {
@@ -85,57 +88,57 @@
     }
 }
 
-fn hear_entry(state: &State, mut reader: BufReader<TcpStream>) -> io::Result<()> {
-    reader.get_ref().set_read_timeout(Some(ENTRY_SILENCE_MAX))?;
+fn read_entry_reports(state: &State, mut reader: BufReader<TcpStream>) -> io::Result<()> {
+    reader.get_ref().set_read_timeout(Some(ENTRY_REPORT_TIMEOUT))?;
     loop {
-        state.entry_told(Some(codec::read_frame(&mut reader)?));
+        state.set_entry_report(Some(codec::read_frame(&mut reader)?));
     }
 }
 
-/// What a stream was told last.
+/// State last sent on a feed.
 #[derive(Default)]
-struct Told {
+struct SentState {
     configuration: Stamp,
     vm_list: Stamp,
     members: Vec<MemberRow>,
 }
 
-/// Tells a stream what changes, until it breaks.
-fn feed(state: &State, mut stream: TcpStream) -> io::Result<()> {
-    let mut told = Told::default();
-    let mut beat_at = Instant::now();
+/// Sends changes and heartbeats on a stream until it breaks.
+fn send_feed(state: &State, mut stream: TcpStream) -> io::Result<()> {
+    let mut sent = SentState::default();
+    let mut last_sent_at = Instant::now();
     loop {
-        let updates = updates(state, &mut told);
+        let updates = pending_updates(state, &mut sent);
         for update in &updates {
             codec::write_frame(&mut stream, update)?;
         }
         if !updates.is_empty() {
-            beat_at = Instant::now();
-        } else if beat_at.elapsed() >= BEAT {
+            last_sent_at = Instant::now();
+        } else if last_sent_at.elapsed() >= HEARTBEAT_INTERVAL {
             codec::write_frame(&mut stream, &FeedUpdate::Beat)?;
-            beat_at = Instant::now();
+            last_sent_at = Instant::now();
         }
-        thread::sleep(MEMBERS_INTERVAL / 10);
+        thread::sleep(FEED_POLL_INTERVAL / 10);
     }
 }
 
-fn updates(state: &State, told: &mut Told) -> Vec<FeedUpdate> {
-    let core = state.wait(MEMBERS_INTERVAL);
-    let configuration = core.newer_configuration(told.configuration);
-    let vm_list = core.newer_vm_list(told.vm_list);
-    let members: Vec<_> = core.membership.rows().cloned().collect();
-    drop(core);
+fn pending_updates(state: &State, sent: &mut SentState) -> Vec<FeedUpdate> {
+    let inner = state.wait_for_change(FEED_POLL_INTERVAL);
+    let configuration = inner.newer_configuration(sent.configuration);
+    let vm_list = inner.newer_vm_list(sent.vm_list);
+    let members: Vec<_> = inner.membership.rows().cloned().collect();
+    drop(inner);
     let mut updates = Vec::new();
-    if members != told.members {
-        told.members.clone_from(&members);
+    if members != sent.members {
+        sent.members.clone_from(&members);
         updates.push(FeedUpdate::Members(members));
     }
     if let Some(stored) = configuration {
-        told.configuration = stored.stamp;
+        sent.configuration = stored.stamp;
         updates.push(FeedUpdate::Configuration(stored));
     }
     if let Some(stored) = vm_list {
-        told.vm_list = stored.stamp;
+        sent.vm_list = stored.stamp;
         updates.extend(serde_json::from_slice(&stored.value).ok().map(FeedUpdate::VmList));
     }
     updates
--- a/crates/pointvane-control/src/state.rs
+++ b/crates/pointvane-control/src/state.rs
@@ -1,9 +1,9 @@
-//! What the threads of the control process share: membership and the values held, behind one lock.
+//! State shared by the threads of the control process: membership and the published values, behind one mutex.
 
 use {
     crate::{
         counters::ControlCounters,
-        value::{FetchOrder, ValueKind, is_whole},
+        value::{FetchRequest, ValueKind, is_valid},
     },
     pointvane_config::Settings,
     pointvane_core::{Clock, Incarnation, Name, VmIdentity, VmState},
@@ -19,225 +19,226 @@
     },
 };
 
-/// What is locked.
+/// The part of [`State`] behind the mutex.
 #[derive(Debug)]
-pub struct Core {
-    /// Members.
+pub struct Inner {
+    /// Membership of the fleet.
     pub membership: Membership,
     pub(crate) configuration: Spread,
     pub(crate) vm_list: Spread,
     pub(crate) reads_platform: bool,
 }
 
-/// The control process.
+/// Shared state of the control process.
 #[derive(Debug)]
 pub struct State {
     /// The VM's settings.
     pub settings: Settings,
-    /// The time.
+    /// Monotonic clock for protocol timers.
     pub clock: MonotonicClock,
-    /// The time line.
+    /// Event log.
     pub events: Arc<EventLog>,
-    /// ControlCounters.
+    /// Metrics.
     pub counters: ControlCounters,
     socket: UdpSocket,
-    core: Mutex<Core>,
+    inner: Mutex<Inner>,
     changed: Condvar,
-    fetches: mpsc::Sender<FetchOrder>,
+    fetch_sender: mpsc::Sender<FetchRequest>,
 }
 
 impl State {
-    /// A control that knows only itself.
+    /// Creates the state of a process that knows no other member yet.
     pub fn new(
         settings: Settings,
         events: Arc<EventLog>,
         counters: ControlCounters,
         socket: UdpSocket,
-        fetches: mpsc::Sender<FetchOrder>,
+        fetch_sender: mpsc::Sender<FetchRequest>,
     ) -> Self {
         let clock = MonotonicClock::start();
         let now_us = clock.now_us();
-        let me = own_row(&settings);
-        let seed = me.identity.incarnation.0 ^ pointvane_mesh::rank("seed", &settings.vm.name);
+        let own_row = initial_own_row(&settings);
+        let seed = own_row.identity.incarnation.0 ^ pointvane_mesh::rank("seed", &settings.vm.name);
         let options = MembershipOptions {
             probe_interval_ms: settings.mesh.probe_interval_ms,
             suspect_ms: settings.mesh.suspect_ms,
             seeds: settings.mesh.seeds.clone(),
             ..MembershipOptions::default()
         };
-        let core = Core {
-            membership: Membership::new(options, me, seed, now_us),
+        let inner = Inner {
+            membership: Membership::new(options, own_row, seed, now_us),
             configuration: Spread::new(now_us),
             vm_list: Spread::new(now_us),
             reads_platform: false,
         };
-        let (core, changed) = (Mutex::new(core), Condvar::new());
-        Self { settings, clock, events, counters, socket, core, changed, fetches }
+        let (inner, changed) = (Mutex::new(inner), Condvar::new());
+        Self { settings, clock, events, counters, socket, inner, changed, fetch_sender }
     }
 
-    /// The locked part.
-    pub fn lock(&self) -> MutexGuard<'_, Core> {
-        self.core.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the shared part.
+    pub fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The locked part once something changed, or after a time.
-    pub fn wait(&self, time: Duration) -> MutexGuard<'_, Core> {
-        let waited = self.changed.wait_timeout(self.lock(), time);
-        waited.unwrap_or_else(PoisonError::into_inner).0
+    /// Waits until a member or value changes, or for at most `time`, and locks the shared part.
+    pub fn wait_for_change(&self, time: Duration) -> MutexGuard<'_, Inner> {
+        let result = self.changed.wait_timeout(self.lock(), time);
+        result.unwrap_or_else(PoisonError::into_inner).0
     }
 
-    /// Takes the time.
+    /// Runs the protocol timers and updates whether this VM reads the platform.
     pub fn tick(&self) {
         let now_us = self.clock.now_us();
-        let mut core = self.lock();
-        let actions = core.membership.tick(now_us);
-        let released = core.configuration.tick(now_us);
-        core.vm_list.tick(now_us);
-        drop(core);
-        self.act(actions);
+        let mut inner = self.lock();
+        let actions = inner.membership.tick(now_us);
+        let released = inner.configuration.tick(now_us);
+        inner.vm_list.tick(now_us);
+        drop(inner);
+        self.run_actions(actions);
         if released == Some(OfferVerdict::Accepted) {
-            self.accepted();
+            self.announce_accepted();
         }
-        self.settle_reading();
+        self.update_reader_role();
     }
 
-    /// Takes a datagram.
+    /// Processes a gossip message.
     pub fn receive(&self, from: SocketAddr, message: &GossipMessage) {
         let now_us = self.clock.now_us();
         let peer = message.from.control_address();
-        let mut core = self.lock();
-        let actions = core.membership.receive(from, message, now_us);
-        let configuration = core.configuration.heard(message.stamps.configuration, peer, now_us);
-        let vm_list = core.vm_list.heard(message.stamps.vm_list, peer, now_us);
-        drop(core);
-        self.act(actions);
+        let mut inner = self.lock();
+        let actions = inner.membership.receive(from, message, now_us);
+        let configuration = inner.configuration.heard(message.stamps.configuration, peer, now_us);
+        let vm_list = inner.vm_list.heard(message.stamps.vm_list, peer, now_us);
+        drop(inner);
+        self.run_actions(actions);
         self.fetch(ValueKind::Configuration, configuration);
         self.fetch(ValueKind::VmList, vm_list);
     }
 
     fn fetch(&self, kind: ValueKind, action: Option<SpreadAction>) {
         if let Some(SpreadAction::Fetch(from)) = action {
-            // The receiver lives as long as the process.
-            let _ = self.fetches.send(FetchOrder { kind, from });
+            // Sending cannot fail: the receiver lives as long as the process.
+            let _ = self.fetch_sender.send(FetchRequest { kind, from });
         }
     }
 
-    /// Takes all rows of another control, and gives all of this one's.
+    /// Merges all member rows of another control process and returns this one's.
     pub fn exchange_rows(&self, rows: &[MemberRow]) -> Vec<MemberRow> {
-        let mut core = self.lock();
-        let actions = core.membership.merge(rows, self.clock.now_us());
-        let own = core.membership.rows().cloned().collect();
-        drop(core);
-        self.act(actions);
-        own
+        let mut inner = self.lock();
+        let actions = inner.membership.merge(rows, self.clock.now_us());
+        let own_rows = inner.membership.rows().cloned().collect();
+        drop(inner);
+        self.run_actions(actions);
+        own_rows
     }
 
-    /// The value held.
+    /// Returns the current value.
     pub fn held(&self, kind: ValueKind) -> Option<Stored> {
         self.lock().spread(kind).held().cloned()
     }
 
-    /// Takes a value, if it is whole; tells what became of it.
+    /// Offers a value from the platform or a peer. Returns the verdict, or `None` if the value is malformed.
     pub fn offer(&self, kind: ValueKind, offer: Offer) -> Option<OfferVerdict> {
         let (Offer::Platform(stored) | Offer::Peer(stored)) = &offer;
         let stamp = stored.stamp;
-        if !is_whole(kind, stored) {
-            self.refuse(stamp, "damaged");
+        if !is_valid(kind, stored) {
+            self.log_refusal(stamp, "damaged");
             return None;
         }
-        let mut core = self.lock();
-        let verdict = core.spread(kind).offer(offer, self.clock.now_us());
-        drop(core);
+        let mut inner = self.lock();
+        let verdict = inner.spread(kind).offer(offer, self.clock.now_us());
+        drop(inner);
         match verdict {
-            OfferVerdict::Accepted => self.accepted(),
+            OfferVerdict::Accepted => self.announce_accepted(),
             OfferVerdict::Older if kind == ValueKind::Configuration => {
-                self.refuse(stamp, "older than in force")
+                self.log_refusal(stamp, "older than the configuration in force")
             }
             OfferVerdict::Older | OfferVerdict::Same | OfferVerdict::Held => {}
         }
         Some(verdict)
     }
 
-    /// Notes on the time line that a published configuration was not taken.
-    pub fn refuse(&self, stamp: Stamp, reason: &str) {
+    /// Logs that a value was refused, with the reason.
+    pub fn log_refusal(&self, stamp: Stamp, reason: &str) {
         let Stamp { revision, index } = stamp;
         self.events.note(EventKind::ConfigurationRefused { revision, index, reason: reason.into() });
     }
 
-    /// Notes that enough peers told what they hold.
+    /// Releases a configuration held back until peers have answered; called once enough of them have.
     pub fn peers_answered(&self) {
-        let mut core = self.lock();
-        let released = core.configuration.peers_answered();
-        core.vm_list.peers_answered();
-        drop(core);
+        let mut inner = self.lock();
+        let released = inner.configuration.peers_answered();
+        inner.vm_list.peers_answered();
+        drop(inner);
         if released == Some(OfferVerdict::Accepted) {
-            self.accepted();
+            self.announce_accepted();
         }
     }
 
-    fn accepted(&self) {
-        let mut core = self.lock();
-        let stamps = core.stamps();
-        let before = core.membership.me().stamp;
-        let actions = core.membership.set_stamps(stamps);
-        drop(core);
+    fn announce_accepted(&self) {
+        let mut inner = self.lock();
+        let stamps = inner.stamps();
+        let previous = inner.membership.me().stamp;
+        let actions = inner.membership.set_stamps(stamps);
+        drop(inner);
         let Stamp { revision, index } = stamps.configuration;
-        if stamps.configuration != before {
+        if stamps.configuration != previous {
             self.events.note(EventKind::ConfigurationAccepted { revision, index });
         }
-        self.act(actions);
+        self.run_actions(actions);
         self.changed.notify_all();
     }
 
-    /// Takes a report of this VM's entry; none when it is gone.
-    pub fn entry_told(&self, report: Option<EntryReport>) {
+    /// Sets the latest report of this VM's entry; `None` if the entry has stopped.
+    pub fn set_entry_report(&self, report: Option<EntryReport>) {
         let row = report.map(|report| EntryRow {
             incarnation: report.incarnation,
             requests: report.requests,
             leaving: report.leaving,
         });
-        let mut core = self.lock();
-        let version = core.membership.me().version;
-        core.membership.set_entry(row);
-        let changed = core.membership.me().version != version;
-        let actions = if changed { core.membership.announce() } else { Vec::new() };
-        drop(core);
-        self.act(actions);
+        let mut inner = self.lock();
+        let version = inner.membership.me().version;
+        inner.membership.set_entry(row);
+        let changed = inner.membership.me().version != version;
+        let actions = if changed { inner.membership.announce() } else { Vec::new() };
+        drop(inner);
+        self.run_actions(actions);
         if changed {
             self.changed.notify_all();
         }
     }
 
-    /// Tells the others that this VM is leaving, unless its entry goes on and only control is restarted.
+    /// Announces that this VM is leaving the fleet, unless its entry keeps running and only the control
+    /// process restarts.
     pub fn leave(&self) {
-        let mut core = self.lock();
-        let entry_stays = core.membership.me().entry.is_some_and(|entry| !entry.leaving);
-        let actions = if entry_stays { Vec::new() } else { core.membership.leave() };
-        drop(core);
-        self.act(actions);
+        let mut inner = self.lock();
+        let entry_stays = inner.membership.me().entry.is_some_and(|entry| !entry.leaving);
+        let actions = if entry_stays { Vec::new() } else { inner.membership.leave() };
+        drop(inner);
+        self.run_actions(actions);
     }
 
-    /// Whether this VM reads the platform for the others now.
+    /// Whether this VM currently reads the platform for the fleet.
     pub fn reads_platform(&self) -> bool {
         self.lock().reads_platform
     }
 
-    fn settle_reading(&self) {
-        let mut core = self.lock();
+    fn update_reader_role(&self) {
+        let mut inner = self.lock();
         let count = usize::from(self.settings.platform.readers);
         let key = self.settings.platform.configuration_key.as_str();
-        let readers = choose_readers(key, core.membership.rows(), count);
-        let reads = readers.contains(&self.settings.vm.name);
-        let before = std::mem::replace(&mut core.reads_platform, reads);
-        drop(core);
-        match (before, reads) {
+        let readers = choose_readers(key, inner.membership.rows(), count);
+        let is_reader = readers.contains(&self.settings.vm.name);
+        let was_reader = std::mem::replace(&mut inner.reads_platform, is_reader);
+        drop(inner);
+        match (was_reader, is_reader) {
             (false, true) => self.events.note(EventKind::ReaderBegan),
             (true, false) => self.events.note(EventKind::ReaderEnded),
             _ => {}
         }
     }
 
-    fn act(&self, actions: Vec<Action>) {
+    fn run_actions(&self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(to, &message),
@@ -252,12 +253,12 @@
     fn send(&self, to: SocketAddr, message: &GossipMessage) {
         let Ok(bytes) = codec::encode(message) else { return };
         if self.socket.send_to(&bytes, to).is_ok() {
-            self.counters.sent(bytes.len() + codec::UDP_HEAD_BYTES);
+            self.counters.record_sent(bytes.len() + codec::UDP_HEAD_BYTES);
         }
     }
 }
 
-impl Core {
+impl Inner {
     fn spread(&mut self, kind: ValueKind) -> &mut Spread {
         match kind {
             ValueKind::Configuration => &mut self.configuration,
@@ -269,18 +270,18 @@
         Stamps { configuration: self.configuration.stamp(), vm_list: self.vm_list.stamp() }
     }
 
-    /// The configuration in force, if it is newer than `stamp`.
+    /// Returns the current configuration if it is newer than `stamp`.
     pub fn newer_configuration(&self, stamp: Stamp) -> Option<Stored> {
         self.configuration.held().filter(|stored| stored.stamp > stamp).cloned()
     }
 
-    /// The list of VMs held, if it is newer than `stamp`.
+    /// Returns the current list of VMs if it is newer than `stamp`.
     pub fn newer_vm_list(&self, stamp: Stamp) -> Option<Stored> {
         self.vm_list.held().filter(|stored| stored.stamp > stamp).cloned()
     }
 }
 
-fn own_row(settings: &Settings) -> MemberRow {
+fn initial_own_row(settings: &Settings) -> MemberRow {
     let vm = &settings.vm;
     let name: Name = vm.name.clone();
     MemberRow {
--- a/crates/pointvane-control/src/status.rs
+++ b/crates/pointvane-control/src/status.rs
@@ -1,4 +1,4 @@
-//! The answer of the control's operator port to `/status`.
+//! Status of the control process, served on its operator port as `/status`.
 
 use {
     crate::state::State,
@@ -8,18 +8,18 @@
     serde::Serialize,
 };
 
-/// What the operator port shows.
+/// Status of the control process.
 #[derive(Debug, Serialize)]
 pub struct ControlStatus {
-    /// This life.
+    /// Incarnation of this process: its start on the wall clock, in milliseconds.
     pub incarnation: Incarnation,
-    /// The configuration in force.
+    /// Stamp of the current configuration.
     pub configuration: Stamp,
-    /// The list of VMs held.
+    /// Stamp of the current list of VMs.
     pub vm_list: Stamp,
-    /// Whether this VM reads the platform for the others.
+    /// Whether this VM reads the platform for the fleet.
     pub reads_platform: bool,
-    /// All VMs as known here, this one first.
+    /// All known VMs, this one first.
     pub members: Vec<MemberRow>,
 }
 
@@ -27,13 +27,13 @@
     type Status = ControlStatus;
 
     fn status(&self) -> ControlStatus {
-        let core = self.lock();
+        let inner = self.lock();
         ControlStatus {
-            incarnation: core.membership.me().identity.incarnation,
-            configuration: core.configuration.stamp(),
-            vm_list: core.vm_list.stamp(),
-            reads_platform: core.reads_platform,
-            members: core.membership.rows().cloned().collect(),
+            incarnation: inner.membership.me().identity.incarnation,
+            configuration: inner.configuration.stamp(),
+            vm_list: inner.vm_list.stamp(),
+            reads_platform: inner.reads_platform,
+            members: inner.membership.rows().cloned().collect(),
         }
     }
 }
--- a/crates/pointvane-control/src/value.rs
+++ b/crates/pointvane-control/src/value.rs
@@ -1,4 +1,4 @@
-//! The published values: which there are, and when one is whole.
+//! The values published on the platform, and their validation.
 
 use {
     pointvane_config::unpack,
@@ -6,7 +6,7 @@
     std::net::SocketAddr,
 };
 
-/// Which published value.
+/// Kind of a published value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueKind {
     /// The packed configuration.
@@ -16,7 +16,7 @@
 }
 
 impl ValueKind {
-    /// The kind's name in metrics.
+    /// Returns the value of the `key` attribute in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -27,15 +27,15 @@
 
 /// A value to fetch from a peer.
 #[derive(Clone, Copy, Debug)]
-pub struct FetchOrder {
-    /// Which value.
+pub struct FetchRequest {
+    /// Kind of the value.
     pub kind: ValueKind,
-    /// The peer's control.
+    /// Control address of the peer.
     pub from: SocketAddr,
 }
 
-/// Whether a value can be used as it is; a damaged one is never taken in part.
-pub fn is_whole(kind: ValueKind, stored: &Stored) -> bool {
+/// Whether a value can be parsed and, for a configuration, matches its digest and the revision of its stamp.
+pub fn is_valid(kind: ValueKind, stored: &Stored) -> bool {
     match kind {
         ValueKind::Configuration => {
             unpack(&stored.value).is_ok_and(|packed| packed.configuration.revision == stored.stamp.revision)
