--- a/crates/pointvane-feed/src/lib.rs
+++ b/crates/pointvane-feed/src/lib.rs
@@ -1,6 +1,7 @@
-//! Client side of the stream between a VM's control and its entry and locate.
+//! Client of the feed: the stream from a VM's control process to its entry and locate processes.
 //!
-//! A thread keeps the stream up. While the control is away, what was last heard stays in force.
+//! A thread keeps the stream connected. While the control process is unreachable, the last updates stay in
+//! force.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,37 +15,37 @@
     },
 };
 
-/// Longest time for the connection to the VM's own control. Not measured.
+/// Timeout for connecting to the VM's own control process.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before the next try. Not measured.
+/// Pause before connecting again.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// Longest silence of a control that is there; it sends a beat each second.
-const SILENCE_MAX: Duration = Duration::from_secs(4);
-/// Time between two reports. Not measured: the control takes 2 s without one as the program's end.
+/// Timeout for data from the control process, which sends a heartbeat every second.
+const READ_TIMEOUT: Duration = Duration::from_secs(4);
+/// Interval of reports. The control process takes the program as stopped after 2 s without a report.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a program does with its feed.
+/// Callbacks of a program that uses the feed.
 pub trait FeedUser: Send + Sync + 'static {
-    /// Who asks.
+    /// Role that the program announces to the control process.
     const ROLE: FeedRole;
 
-    /// Takes an update.
+    /// Handles an update from the control process.
     fn update(&self, update: FeedUpdate);
 
-    /// Hears that the stream came (back) or broke off.
+    /// Called when the stream has been connected (`true`) or lost (`false`).
     fn connected(&self, connected: bool);
 
-    /// What to tell the control now; none for programs that tell nothing.
+    /// Returns the report to send to the control process; `None` for programs that send no reports.
     fn report(&self) -> Option<EntryReport>;
 }
 
-/// Keeps the feed up for as long as the process lives.
+/// Starts a thread that keeps the feed connected for the lifetime of the process.
 pub fn spawn_feed<U: FeedUser>(control: SocketAddr, user: std::sync::Arc<U>) {
     thread::spawn(move || {
         let mut was_connected = false;
         loop {
-            let ended = follow(control, &*user, &mut was_connected);
-            if was_connected && ended.is_err() {
+            let result = run_connection(control, &*user, &mut was_connected);
+            if was_connected && result.is_err() {
                 user.connected(false);
                 was_connected = false;
             }
@@ -53,21 +54,21 @@
     });
 }
 
-fn follow<U: FeedUser>(control: SocketAddr, user: &U, was_connected: &mut bool) -> io::Result<()> {
+fn run_connection<U: FeedUser>(control: SocketAddr, user: &U, was_connected: &mut bool) -> io::Result<()> {
     let mut stream = TcpStream::connect_timeout(&control, CONNECT_TIMEOUT)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(SILENCE_MAX))?;
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
     codec::write_frame(&mut stream, &FeedHello { role: U::ROLE })?;
     let mut reader = BufReader::new(stream.try_clone()?);
     user.connected(true);
     *was_connected = true;
     thread::scope(|scope| {
-        scope.spawn(|| report(stream, user));
+        scope.spawn(|| send_reports(stream, user));
         loop {
             match codec::read_frame(&mut reader) {
                 Ok(update) => user.update(update),
                 Err(error) => {
-                    // Ends the reporting side as well.
+                    // Makes the next write of `send_reports` fail, which ends its thread.
                     let _ = reader.get_ref().shutdown(std::net::Shutdown::Both);
                     return Err(error);
                 }
@@ -76,14 +77,14 @@
     })
 }
 
-/// Tells reports until the stream breaks.
-fn report<U: FeedUser>(mut stream: TcpStream, user: &U) {
-    let mut next = Instant::now();
+/// Sends reports until the stream breaks or the program has none.
+fn send_reports<U: FeedUser>(mut stream: TcpStream, user: &U) {
+    let mut next_report_at = Instant::now();
     while let Some(report) = user.report() {
         if codec::write_frame(&mut stream, &report).is_err() {
             return;
         }
-        next += REPORT_INTERVAL;
-        thread::sleep(next.saturating_duration_since(Instant::now()));
+        next_report_at += REPORT_INTERVAL;
+        thread::sleep(next_report_at.saturating_duration_since(Instant::now()));
     }
 }
--- a/crates/pointvane-locate/src/answer.rs
+++ b/crates/pointvane-locate/src/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to a caller, as JSON; docs/CALLERS.md describes it.
+//! JSON answer to a lookup; docs/CALLERS.md describes it.
 
 use {
     pointvane_core::Name,
@@ -6,26 +6,26 @@
     std::net::SocketAddr,
 };
 
-/// Which entry VMs to use.
+/// Answer to a lookup: the entry VMs to use for a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocateAnswer {
-    /// The service that was asked for.
+    /// Name of the service.
     pub service: Name,
-    /// How long the answer may be kept, in milliseconds.
+    /// How long the caller may cache the answer, in milliseconds.
     pub keep_ms: u64,
-    /// Entry VMs, the one to try first at the head.
+    /// Entry VMs in the order in which to try them.
     pub entries: Vec<EntryAddress>,
 }
 
 /// One entry VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryAddress {
-    /// The VM's name.
+    /// Name of the VM.
     pub vm: Name,
-    /// The VM's data centre.
+    /// Data centre of the VM.
     pub data_centre: Name,
-    /// Where its entry serves.
+    /// Address of the VM's entry.
     pub address: SocketAddr,
-    /// What keys for work at this entry begin with.
+    /// Prefix of idempotency keys for requests to this entry.
     pub key_prefix: String,
 }
--- a/crates/pointvane-locate/src/choose.rs
+++ b/crates/pointvane-locate/src/choose.rs
@@ -1,4 +1,4 @@
-//! Which entry VMs a caller is told: a pure decision.
+//! Selects the entry VMs of an answer, without I/O.
 
 use {
     pointvane_core::Name,
@@ -6,50 +6,52 @@
     rand::Rng,
 };
 
-/// What is asked for.
+/// Parameters of a selection.
 #[derive(Clone, Debug)]
 pub struct ChooseOptions {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// Entry VMs that serve it; 0 for all.
+    /// Number of entry VMs that serve the service; 0 for all.
     pub home_vms: usize,
-    /// The caller's data centre, or this VM's.
+    /// Preferred data centre: the caller's, or this VM's if the caller gave none.
     pub near: Name,
-    /// Most entry VMs to tell.
+    /// Maximum number of entry VMs to return.
     pub count_max: usize,
 }
 
-/// The entry VMs to tell: near ones first, lightly loaded ones more often, and one elsewhere at the end so
-/// that the loss of a data centre leaves the caller a way.
+/// Selects entry VMs at random, with a preference for lightly loaded ones: first those of the preferred data
+/// centre, then at least one of another data centre, so that the caller can fail over when a data centre is
+/// lost.
 pub fn choose_entries<'a>(
     rows: impl Iterator<Item = &'a MemberRow>,
     options: &ChooseOptions,
     rng: &mut impl Rng,
 ) -> Vec<&'a MemberRow> {
-    let home = home_vms(&options.service, rows, options.home_vms);
-    let (near, far): (Vec<_>, Vec<_>) =
-        home.into_iter().partition(|row| row.identity.data_centre == options.near);
-    let far_first = draw_all(far, rng);
-    let mut chosen = draw_all(near, rng);
-    if !far_first.is_empty() {
+    let home_rows = home_vms(&options.service, rows, options.home_vms);
+    let (local, remote): (Vec<_>, Vec<_>) =
+        home_rows.into_iter().partition(|row| row.identity.data_centre == options.near);
+    let remote_shuffled = shuffle_by_load(remote, rng);
+    let mut chosen = shuffle_by_load(local, rng);
+    if !remote_shuffled.is_empty() {
         chosen.truncate(options.count_max.saturating_sub(1).max(1));
     }
-    chosen.extend(far_first);
+    chosen.extend(remote_shuffled);
     chosen.truncate(options.count_max);
     chosen
 }
 
-/// All rows in a random order in which lighter ones tend to stand first: each place goes to the lighter of two.
-fn draw_all<'a>(mut rows: Vec<&'a MemberRow>, rng: &mut impl Rng) -> Vec<&'a MemberRow> {
-    let mut drawn = Vec::with_capacity(rows.len());
+/// Returns all rows in a random order that favours lightly loaded ones: each next row is the less loaded of
+/// two that are drawn at random.
+fn shuffle_by_load<'a>(mut rows: Vec<&'a MemberRow>, rng: &mut impl Rng) -> Vec<&'a MemberRow> {
+    let mut shuffled = Vec::with_capacity(rows.len());
     while !rows.is_empty() {
         let (a, b) = (rng.random_range(0..rows.len()), rng.random_range(0..rows.len()));
-        let lighter = if requests(rows[b]) < requests(rows[a]) { b } else { a };
-        drawn.push(rows.swap_remove(lighter));
+        let less_loaded = if request_count(rows[b]) < request_count(rows[a]) { b } else { a };
+        shuffled.push(rows.swap_remove(less_loaded));
     }
-    drawn
+    shuffled
 }
 
-fn requests(row: &MemberRow) -> u32 {
+fn request_count(row: &MemberRow) -> u32 {
     row.entry.map_or(u32::MAX, |entry| entry.requests)
 }
--- a/crates/pointvane-locate/src/lib.rs
+++ b/crates/pointvane-locate/src/lib.rs
@@ -1,6 +1,7 @@
-//! The locate process of one VM: tells callers which entry VMs to use.
+//! The locate process of a VM: tells callers which entry VMs to use.
 //!
-//! Callers may keep connections here as they like, so `hyper` serves them, as on the data path.
+//! Callers may keep any number of connections open, so they are served asynchronously by `hyper`, as on the
+//! data path.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/pointvane-locate/src/locate.rs
+++ b/crates/pointvane-locate/src/locate.rs
@@ -1,4 +1,4 @@
-//! The state of the process, and the answer to one lookup.
+//! State of the locate process and the handling of lookups.
 
 use {
     crate::{
@@ -26,45 +26,45 @@
     },
 };
 
-/// When callers should ask again while nothing is known, in seconds. Not measured.
+/// Value of the `Retry-After` header while no configuration or entry VM is known, in seconds.
 const RETRY_AFTER_S: &str = "1";
-/// Path of the lookup; docs/CALLERS.md describes it.
+/// Path of lookups; docs/CALLERS.md describes it.
 const LOCATE_PATH: &str = "/v1/locate";
 
-/// The state of one locate process.
+/// State of the locate process.
 #[derive(Debug)]
 pub struct Locate {
     settings: Settings,
     events: Arc<EventLog>,
-    questions: Counter<u64>,
-    known: Mutex<Known>,
+    lookups: Counter<u64>,
+    feed_state: Mutex<FeedState>,
 }
 
 #[derive(Debug, Default)]
-struct Known {
+struct FeedState {
     stamp: Stamp,
     configuration: Option<Configuration>,
     members: Vec<MemberRow>,
 }
 
-/// What the operator port shows.
+/// Status of the locate process, served on its operator port as `/status`.
 #[derive(Debug, Serialize)]
 pub struct LocateStatus {
-    /// The configuration in force.
+    /// Stamp of the current configuration.
     pub configuration: Stamp,
-    /// Entry VMs that callers are sent to.
+    /// Names of the entry VMs that accept callers.
     pub usable: Vec<Name>,
 }
 
 impl Locate {
-    /// A locate that knows nothing yet.
-    pub fn new(settings: Settings, events: Arc<EventLog>, questions: Counter<u64>) -> Self {
-        Self { settings, events, questions, known: Mutex::default() }
+    /// Creates the state of a process that has no configuration and no members yet.
+    pub fn new(settings: Settings, events: Arc<EventLog>, lookups: Counter<u64>) -> Self {
+        Self { settings, events, lookups, feed_state: Mutex::default() }
     }
 
-    fn locate(&self, service: &str, near: Option<Name>) -> Result<LocateAnswer, StatusCode> {
-        let known = self.lock();
-        let configuration = known.configuration.as_ref().ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
+    fn find_entries(&self, service: &str, near: Option<Name>) -> Result<LocateAnswer, StatusCode> {
+        let feed_state = self.lock();
+        let configuration = feed_state.configuration.as_ref().ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
         let service = configuration.services.iter().find(|s| s.name.as_str() == service);
         let service = service.ok_or(StatusCode::NOT_FOUND)?;
         let options = ChooseOptions {
@@ -73,9 +73,9 @@
             near: near.unwrap_or_else(|| self.settings.vm.data_centre.clone()),
             count_max: usize::from(self.settings.locate.addresses_max),
         };
-        let chosen = choose_entries(known.members.iter(), &options, &mut rand::rng());
+        let chosen = choose_entries(feed_state.members.iter(), &options, &mut rand::rng());
         let key_life_ms = configuration.limits.key_life_ms;
-        let entries: Vec<_> = chosen.into_iter().filter_map(|row| address(row, key_life_ms)).collect();
+        let entries: Vec<_> = chosen.into_iter().filter_map(|row| entry_address(row, key_life_ms)).collect();
         if entries.is_empty() {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -86,35 +86,36 @@
         })
     }
 
-    /// Answers one lookup.
+    /// Handles one lookup.
     fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-        self.questions.add(1, &[]);
+        self.lookups.add(1, &[]);
         if request.uri().path() != LOCATE_PATH {
-            return refuse(StatusCode::NOT_FOUND);
+            return error_response(StatusCode::NOT_FOUND);
         }
-        let Some(service) = parameter(request, "service") else {
-            return refuse(StatusCode::BAD_REQUEST);
+        let Some(service) = query_parameter(request, "service") else {
+            return error_response(StatusCode::BAD_REQUEST);
         };
-        match self.locate(service, parameter(request, "data_centre").map(Name::from)) {
-            Ok(answer) => json(&answer),
-            Err(status) => refuse(status),
+        match self.find_entries(service, query_parameter(request, "data_centre").map(Name::from)) {
+            Ok(answer) => json_response(&answer),
+            Err(status) => error_response(status),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, FeedState> {
+        self.feed_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take(&self, value: &[u8], stamp: Stamp) {
-        // The control refuses damaged values and notes them on its time line; here the one before stays in force.
+    fn apply_configuration(&self, value: &[u8], stamp: Stamp) {
+        // The control process refuses and logs damaged values; here the previous configuration stays in
+        // force.
         let Ok(packed) = unpack(value) else { return };
-        let mut known = self.lock();
-        if stamp <= known.stamp {
+        let mut feed_state = self.lock();
+        if stamp <= feed_state.stamp {
             return;
         }
-        known.stamp = stamp;
-        known.configuration = Some(packed.configuration);
-        drop(known);
+        feed_state.stamp = stamp;
+        feed_state.configuration = Some(packed.configuration);
+        drop(feed_state);
         let Stamp { revision, index } = stamp;
         self.events.note(EventKind::ConfigurationAccepted { revision, index });
     }
@@ -128,19 +129,19 @@
     }
 }
 
-fn parameter<'r>(request: &'r Request<Incoming>, name: &str) -> Option<&'r str> {
+fn query_parameter<'r>(request: &'r Request<Incoming>, name: &str) -> Option<&'r str> {
     let pairs = request.uri().query()?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-fn json(answer: &LocateAnswer) -> Response<Full<Bytes>> {
+fn json_response(answer: &LocateAnswer) -> Response<Full<Bytes>> {
     let body = serde_json::to_vec(answer).unwrap_or_default();
     let mut response = Response::new(Full::from(body));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-fn refuse(status: StatusCode) -> Response<Full<Bytes>> {
+fn error_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::from(format!("{status}\n")));
     *response.status_mut() = status;
     if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -149,10 +150,10 @@
     response
 }
 
-fn address(row: &MemberRow, key_life_ms: u64) -> Option<EntryAddress> {
+fn entry_address(row: &MemberRow, key_life_ms: u64) -> Option<EntryAddress> {
     let incarnation = row.entry?.incarnation;
-    // An incarnation is its start on the wall clock, so this is the time since that start; a difference
-    // between the VMs' clocks only shortens or lengthens the key's life by as much.
+    // An incarnation is the process's start time on the wall clock. Clock skew between VMs only shortens or
+    // lengthens the lifetime of keys by the same amount.
     let since_start_ms = wall_ms().saturating_sub(incarnation.0);
     Some(EntryAddress {
         vm: row.identity.name.clone(),
@@ -167,7 +168,7 @@
 
     fn update(&self, update: FeedUpdate) {
         match update {
-            FeedUpdate::Configuration(stored) => self.take(&stored.value, stored.stamp),
+            FeedUpdate::Configuration(stored) => self.apply_configuration(&stored.value, stored.stamp),
             FeedUpdate::Members(rows) => self.lock().members = rows,
             FeedUpdate::VmList(_) | FeedUpdate::Beat => {}
         }
@@ -186,10 +187,10 @@
     type Status = LocateStatus;
 
     fn status(&self) -> LocateStatus {
-        let known = self.lock();
-        let usable = known.members.iter().filter(|row| row.takes_callers());
+        let feed_state = self.lock();
+        let usable = feed_state.members.iter().filter(|row| row.takes_callers());
         LocateStatus {
-            configuration: known.stamp,
+            configuration: feed_state.stamp,
             usable: usable.map(|row| row.identity.name.clone()).collect(),
         }
     }
--- a/crates/pointvane-locate/src/main.rs
+++ b/crates/pointvane-locate/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `pointvane-locate`.
+//! The `pointvane-locate` program.
 #![forbid(unsafe_code)]
 
 use {
--- a/crates/pointvane-locate/src/run.rs
+++ b/crates/pointvane-locate/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of the process.
+//! Startup and shutdown of the locate process.
 
 use {
     crate::locate::Locate,
@@ -17,35 +17,36 @@
     },
 };
 
-/// Longest wait for answers under way at a planned stop.
-const STOP_WAIT: Duration = Duration::from_secs(5);
-const LOOK: Duration = Duration::from_millis(10);
+/// Maximum wait for open connections during a graceful shutdown.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval at which a graceful shutdown checks for open connections.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Runs the locate until it is stopped.
+/// Runs the locate process until it gets SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When it cannot start.
+/// If the runtime, the metrics or a signal handler cannot be set up, or a port cannot be bound.
 pub fn run(settings: Settings, log: slog::Logger) -> Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    runtime.block_on(locate(settings, log))
+    runtime.block_on(run_locate(settings, log))
 }
 
-async fn locate(settings: Settings, log: slog::Logger) -> Result<()> {
+async fn run_locate(settings: Settings, log: slog::Logger) -> Result<()> {
     let vm = settings.vm.clone();
     let address = SocketAddr::new(vm.address, settings.locate.port);
     let operator = SocketAddr::new(vm.address, settings.operator.locate_port);
     let control = SocketAddr::new(vm.address, settings.control.port);
     let metrics = Arc::new(Metrics::new()?);
     let events = Arc::new(EventLog::new(vm.name, Program::Locate, log));
-    let questions = metrics.meter().u64_counter("pointvane_locate_questions").build();
-    let locate = Arc::new(Locate::new(settings, Arc::clone(&events), questions));
+    let lookups = metrics.meter().u64_counter("pointvane_locate_questions").build();
+    let locate = Arc::new(Locate::new(settings, Arc::clone(&events), lookups));
     let listener = TcpListener::bind(address).await.wrap_err_with(|| format!("locate port {address}"))?;
     let _operator = serve_operator(operator, metrics, Arc::clone(&events), Arc::clone(&locate))?;
     spawn_feed(control, Arc::clone(&locate));
     events.note(EventKind::Started);
 
     let (phase, phases) = watch::channel(Phase::Running);
-    let serving = tokio::spawn(serve(locate, listener, ServeOptions::default(), phases));
+    let server = tokio::spawn(serve(locate, listener, ServeOptions::default(), phases));
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -54,14 +55,14 @@
     }
     events.note(EventKind::Stopping { in_flight: phase.receiver_count() as u64 });
     phase.send_replace(Phase::Closing);
-    let ended = async {
+    let drained = async {
         while phase.receiver_count() > 0 {
-            sleep(LOOK).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
     };
-    // Beyond the wait only callers that never read their answer are left.
-    let _ = timeout(STOP_WAIT, ended).await;
+    // Connections that are still open after the wait belong to callers that do not read their answers.
+    let _ = timeout(DRAIN_TIMEOUT, drained).await;
     events.note(EventKind::Stopped { cut: phase.receiver_count() as u64 });
-    serving.abort();
+    server.abort();
     Ok(())
 }
--- a/crates/pointvane-locate/tests/settings.rs
+++ b/crates/pointvane-locate/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The program's answer to good and bad settings.
+//! Behaviour of the program on valid and invalid settings files.
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_pointvane-locate");
 
--- a/crates/pointvane-serve/src/lib.rs
+++ b/crates/pointvane-serve/src/lib.rs
@@ -1,5 +1,5 @@
-//! Serving of HTTP/1.1 by `hyper`: bounds on the number of connections, on heads and on slow senders, and a
-//! planned end that cuts nothing.
+//! HTTP/1.1 server based on `hyper`, with limits on connections, request heads and slow senders, and a
+//! graceful shutdown that completes requests in flight.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -18,17 +18,18 @@
     },
 };
 
-/// Pause after an accept that failed, as when descriptors run out.
+/// Pause after a failed accept, such as one that failed for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Bounds on callers.
+/// Limits on callers.
 #[derive(Clone, Debug)]
 pub struct ServeOptions {
-    /// Most connections at once; more wait in the kernel's backlog.
+    /// Maximum number of concurrent connections; further ones wait in the kernel's backlog.
     pub connections_max: usize,
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_limit_bytes: usize,
-    /// Longest time for a whole head, in milliseconds; kept connections that stay idle longer are closed.
+    /// Timeout for receiving a complete request head, in milliseconds; also the idle timeout of persistent
+    /// connections.
     pub head_timeout_ms: u64,
 }
 
@@ -38,39 +39,40 @@
     }
 }
 
-/// Answers requests.
+/// Handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Body of the answers.
+    /// Body type of responses.
     type Body: Body<Data: Send, Error: std::error::Error + Send + Sync> + Send + 'static;
 
-    /// Answers one request; dropped when the caller goes away.
+    /// Handles one request; the future is dropped when the caller disconnects.
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<Self::Body>> + Send;
 }
 
-/// How far a planned stop has come.
+/// Phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Nothing is stopping.
+    /// No shutdown has begun.
     Running,
-    /// New connections are refused, kept ones close after what they carry.
+    /// New connections are refused; open ones close after their requests in flight.
     Closing,
 }
 
-/// Accepts connections until the phase says to close; returns at once when it does.
+/// Accepts connections until `phase` is [`Phase::Closing`], then returns at once.
 ///
-/// Each connection holds a receiver of `phase` until it has ended.
+/// Each connection holds a receiver of `phase` until it ends, so the sender's receiver count shows when all
+/// have ended.
 pub async fn serve<H: Handler>(
     handler: Arc<H>,
     listener: TcpListener,
     options: ServeOptions,
     mut phase: watch::Receiver<Phase>,
 ) {
-    let places = Arc::new(Semaphore::new(options.connections_max));
+    let connection_permits = Arc::new(Semaphore::new(options.connections_max));
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&connection_permits).acquire_owned().await else {
             return;
         };
         let accepted = tokio::select! {
@@ -79,11 +81,11 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let served = serve_connection(Arc::clone(&handler), stream, options.clone(), phase.clone());
+                let serving = serve_connection(Arc::clone(&handler), stream, options.clone(), phase.clone());
                 tokio::spawn(async move {
-                    // An error concerns the connection's caller alone.
-                    let _ = served.await;
-                    drop(place);
+                    // An error affects only the caller of this connection.
+                    let _ = serving.await;
+                    drop(permit);
                 });
             }
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
@@ -104,13 +106,13 @@
         .header_read_timeout(Duration::from_millis(options.head_timeout_ms))
         .max_buf_size(options.head_limit_bytes);
     let service = service_fn(|request| {
-        let answer = Arc::clone(&handler).handle(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = Arc::clone(&handler).handle(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
     let closing = phase.wait_for(|phase| *phase == Phase::Closing);
     tokio::select! {
-        ended = connection.as_mut() => return ended.map_err(io::Error::other),
+        result = connection.as_mut() => return result.map_err(io::Error::other),
         _ = closing => connection.as_mut().graceful_shutdown(),
     }
     connection.await.map_err(io::Error::other)
