--- a/crates/pointvane-config/src/node_options.rs
+++ b/crates/pointvane-config/src/node_options.rs
@@ -149,8 +149,8 @@
     pub start_wait_ms: u64,
 }
 
-/// The pipelining limits cover what browsers and client libraries send at once on one connection: 8 requests
-/// with heads of up to 2 KB.
+/// The pipelining limits cover what browsers and client libraries send at once on one connection, with heads
+/// of up to 2 KB.
 impl Default for CallerOptions {
     fn default() -> Self {
         Self { pipeline_requests: 8, pipeline_bytes: 16 << 10, start_wait_ms: START_WAIT_MS_DEFAULT }
--- a/crates/pointvane-config/src/settings_file.rs
+++ b/crates/pointvane-config/src/settings_file.rs
@@ -46,10 +46,10 @@
     "log.format",
 ];
 
-/// Accepted log levels.
+/// Accepted log levels; the first is the default.
 const LOG_LEVELS: [(&str, LogLevel); 4] =
     [("info", "info"), ("debug", "debug"), ("warning", "warning"), ("error", "error")];
-/// Accepted log formats.
+/// Accepted log formats; the first is the default.
 const LOG_FORMATS: [(&str, LogFormat); 2] = [("text", LogFormat::Text), ("json", LogFormat::Json)];
 /// Placeholder for an invalid address; never used, since the file's faults are returned instead of its
 /// settings.
--- a/crates/pointvane-control/src/state.rs
+++ b/crates/pointvane-control/src/state.rs
@@ -57,7 +57,7 @@
     ) -> Self {
         let clock = MonotonicClock::start();
         let now_us = clock.now_us();
-        let own_row = initial_own_row(&settings);
+        let own_row = initial_member_row(&settings);
         let seed = own_row.identity.incarnation.0 ^ pointvane_mesh::rank("seed", &settings.vm.name);
         let options = MembershipOptions {
             probe_interval_ms: settings.mesh.probe_interval_ms,
@@ -164,7 +164,7 @@
         self.events.note(EventKind::ConfigurationRefused { revision, index, reason: reason.into() });
     }
 
-    /// Releases a configuration held back until peers have answered; called once enough of them have.
+    /// Releases values of the platform that were held back until peers answered; called once enough have.
     pub fn peers_answered(&self) {
         let mut inner = self.lock();
         let released = inner.configuration.peers_answered();
@@ -281,7 +281,7 @@
     }
 }
 
-fn initial_own_row(settings: &Settings) -> MemberRow {
+fn initial_member_row(settings: &Settings) -> MemberRow {
     let vm = &settings.vm;
     let name: Name = vm.name.clone();
     MemberRow {
