--- a/crates/pointvane-telemetry/src/clock.rs
+++ b/crates/pointvane-telemetry/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of the programs.
+//! Monotonic and wall clocks.
 
 use {
     pointvane_core::{Clock, US_PER_S},
@@ -6,38 +6,38 @@
     std::time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// Where [`MonotonicClock`] starts, so that no time is ever 0, which means "never".
-const START_US: u64 = 1_000 * US_PER_S;
+/// First reading of [`MonotonicClock`] in microseconds. It is above 0, which means "never" in stored times.
+const INITIAL_TIME_US: u64 = 1_000 * US_PER_S;
 
-/// A moment of the machine's time since its boot, that for which it was suspended included: `CLOCK_BOOTTIME`.
+/// A point in time read from `CLOCK_BOOTTIME`, which includes time that the machine was suspended.
 ///
-/// `std::time::Instant` stands still while a machine is suspended, and whatever rests on it then believes that leases, load reports, kept connections,
-/// pauses of upstreams and times left of requests are as fresh as before.
+/// `std::time::Instant` does not advance while a machine is suspended. Leases, load reports, idle connections,
+/// upstream back-offs and request deadlines based on it would look as fresh after a resume as before.
 #[derive(Clone, Copy, Debug)]
 pub struct Moment(Duration);
 
 impl Moment {
-    /// This moment.
+    /// The current time.
     pub fn now() -> Self {
         let time = clock_gettime(ClockId::Boottime);
-        // Neither is ever negative on this clock.
+        // Neither field is ever negative on this clock, so the casts are lossless.
         Self(Duration::new(time.tv_sec as u64, time.tv_nsec as u32))
     }
 
-    /// Time since then.
+    /// Time elapsed since this point; zero if it lies in the future.
     pub fn elapsed(self) -> Duration {
         Self::now().0.saturating_sub(self.0)
     }
 }
 
-/// Time since the process started.
+/// Clock that counts from the time it was started, including time that the machine was suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct MonotonicClock {
     started: Moment,
 }
 
 impl MonotonicClock {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub fn start() -> Self {
         Self { started: Moment::now() }
     }
@@ -50,11 +50,11 @@
 
 impl Clock for MonotonicClock {
     fn now_us(&self) -> u64 {
-        START_US + self.started.elapsed().as_micros() as u64
+        INITIAL_TIME_US + self.started.elapsed().as_micros() as u64
     }
 }
 
-/// The wall clock, in milliseconds since 1970; 0 if it stands before that.
+/// Wall-clock time in milliseconds since the Unix epoch; 0 if the clock is set to an earlier time.
 pub fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/pointvane-telemetry/src/event.rs
+++ b/crates/pointvane-telemetry/src/event.rs
@@ -1,4 +1,4 @@
-//! What the time line and the log lines tell: a closed list of typed events.
+//! Typed events, written to the log and served as a timeline on the operator port.
 
 use {
     pointvane_core::{Name, VmState},
@@ -13,27 +13,28 @@
     },
 };
 
-/// Name of an event's count; before `entry_sequence`, [`EventKind::UpstreamTold`] had a field of this name as well.
+/// Field with an event's sequence number. Older versions also wrote [`EventKind::UpstreamTold`]'s
+/// `entry_sequence` under this name.
 const SEQUENCE: &str = "sequence";
-/// Name of the count of an upstream's entry.
+/// Field with the sequence number of an upstream's registry entry.
 const ENTRY_SEQUENCE: &str = "entry_sequence";
 
-/// A program of pointvane.
+/// The pointvane program that emitted an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Program {
-    /// The data path.
+    /// Proxies requests to upstreams.
     Entry,
-    /// Membership and configuration.
+    /// Maintains membership and distributes configuration.
     Control,
-    /// Tells callers which entry VM to use.
+    /// Tells callers which entry VMs to connect to.
     Locate,
-    /// All of these in one process, for upstreams that a platform lists.
+    /// Combines all of these in one process; its upstreams come from a platform's registry.
     Node,
 }
 
 impl Program {
-    /// The program's name in logs and time lines.
+    /// The program's name in logs and timelines.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Entry => "entry",
@@ -44,86 +45,92 @@
     }
 }
 
-/// Everything that the time line and the log lines tell.
+/// What happened, with its details. Serialized by name, with the variant under `kind`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 #[allow(missing_docs)]
 pub enum EventKind {
-    /// The process runs.
+    /// The process has started.
     Started,
-    /// The process was asked to stop and takes nothing new.
+    /// The process was asked to stop and accepts no new requests.
     Stopping { in_flight: u64 },
-    /// Nothing is in flight any more, or the wait is over.
+    /// All requests finished, or the stop timeout passed and the `cut` remaining ones were aborted.
     Stopped { cut: u64 },
-    /// A configuration is in force here.
+    /// A configuration was applied.
     ConfigurationAccepted { revision: u64, index: u64 },
-    /// A published configuration was not taken.
+    /// A published configuration was rejected.
     ConfigurationRefused { revision: u64, index: u64, reason: String },
-    /// Belief about a VM changed.
+    /// The membership state of a VM changed.
     MemberChanged { member: Name, state: VmState },
-    /// This VM began to read the platform for the others.
+    /// This VM started to read the platform on behalf of the others.
     ReaderBegan,
-    /// This VM no longer reads the platform.
+    /// This VM stopped reading the platform.
     ReaderEnded,
-    /// The platform does not answer.
+    /// The platform stopped responding.
     PlatformLost,
-    /// The platform answers again.
+    /// The platform responds again.
     PlatformBack,
-    /// The platform's write count went backwards.
+    /// The platform's revision decreased.
     PlatformWentBack { from: u64, to: u64 },
-    /// An upstream is leaving: no new work for it.
+    /// An upstream is leaving and gets no new requests.
     UpstreamLeaving { service: Name, upstream: Name },
-    /// An upstream wants no requests for a time; it gets none from this process for so long.
+    /// An upstream asked for a pause; this process sends it no requests for `back_off_ms`.
     UpstreamBackingOff { service: Name, upstream: Name, back_off_ms: u64 },
-    /// An upstream advertises how many requests it takes from all processes together, in a thousand seconds; none if it advertises no limit any more.
+    /// An upstream advertised a new request limit, shared by all processes, in requests per 1000 s; `None` if
+    /// it no longer advertises one.
     UpstreamLimitChanged { service: Name, upstream: Name, per_1000_s: Option<u32> },
-    /// An upstream that was leaving is not any more.
+    /// An upstream that was leaving no longer is.
     UpstreamStaying { service: Name, upstream: Name },
-    /// A failing upstream was set aside.
+    /// A failing upstream was ejected from selection.
     UpstreamEjected { service: Name, upstream: Name },
-    /// An upstream is tried again after ejection, or has run a request again after it wanted none.
+    /// An upstream is back in selection after an ejection, or ran a request again after backing off.
     UpstreamReturned { service: Name, upstream: Name },
-    /// A service began to refuse work for overload.
+    /// A service started to reject requests because of overload.
     OverloadBegan { service: Name },
-    /// A service refuses no more work.
+    /// A service stopped rejecting requests.
     OverloadEnded { service: Name },
-    /// The feed from this VM's control broke off.
+    /// The connection to the update feed of this VM's control was lost.
     FeedLost,
-    /// The feed from this VM's control came (back).
+    /// The update feed of this VM's control is connected, for the first time or again.
     FeedBack,
-    /// An upstream's entry was read from the platform; `entry_sequence` counts the updates of that entry.
+    /// An upstream's registry entry was read from the platform; `entry_sequence` counts the updates of that
+    /// entry.
     UpstreamTold { service: Name, upstream: Name, draining: bool, entry_sequence: u64 },
-    /// An upstream's entry is gone.
+    /// An upstream's registry entry was removed.
     UpstreamGone { upstream: Name },
-    /// A data centre's upstreams get no new work, or get it again; `revision` is the platform's.
+    /// Evacuation of a data centre started or ended; while it is active its upstreams get no new requests.
+    /// `revision` is the platform's.
     EvacuationChanged { data_centre: Name, active: bool, revision: u64 },
-    /// Everything that the platform holds was read from it.
+    /// A complete snapshot was read from the platform.
     PlatformRead { revision: u64, version: u64, upstreams: u64 },
-    /// The platform is called by a node that does not watch it, or because a call before brought no state.
+    /// A node that does not watch the platform called it, or a call was repeated because the one before
+    /// returned no state.
     PlatformCalled { call: Name, reason: Name },
-    /// Another node told what it knows of the platform, from a word of the platform's of that age.
+    /// Another node sent its copy of the platform's state, last confirmed by the platform `age_ms` ago.
     StateTold { peer: SocketAddr, revision: u64, age_ms: u64 },
-    /// An item of the platform could not be understood.
+    /// An item of the platform could not be decoded.
     ItemRefused { key: String, problem: String },
-    /// A watch was given up and made anew, since peers have seen a later revision or hung watches must be noticed.
+    /// A watch was cancelled and restarted, because peers have seen a later revision or to recover from a
+    /// hung watch.
     WatchRenewed { revision: u64 },
-    /// The settings were read again.
+    /// The settings were reloaded.
     Reloaded { changed: bool },
-    /// The settings could not be read again; those before stay in force.
+    /// The settings could not be reloaded; the previous ones stay in effect.
     ReloadRefused { problem: String },
-    /// An attempt of a request ended; what was believed of the upstream when it was chosen, and how old that was.
+    /// An attempt of a request ended. The load fields are those known when the upstream was chosen,
+    /// `load_age_ms` old.
     AttemptEnded {
         request: String,
-        /// What tells the same request when a caller sends it again; none for an attempt that went well.
+        /// Digest that identifies the same request when a caller resends it; `None` for a successful attempt.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         fingerprint: Option<String>,
-        /// Address of the caller; none for an attempt that went well.
+        /// Address of the caller; `None` for a successful attempt.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         caller: Option<IpAddr>,
         service: Name,
         upstream: Name,
         outcome: Name,
-        /// `Retry-After` of an answer that turned the request away, as the upstream wrote it, cut off after 40 bytes.
+        /// `Retry-After` header of a rejection, as sent by the upstream, truncated to 40 bytes.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         retry_after: Option<String>,
         hedge: bool,
@@ -135,7 +142,8 @@
         choose_ms: u64,
         took_ms: u64,
     },
-    /// A request's best upstream has no room for it, or would finish it too late, so it is told to come back.
+    /// The best upstream for a request has no capacity or would finish it too late; the caller gets an error
+    /// and a time to retry.
     RequestWouldBeLate {
         request: String,
         upstream: Name,
@@ -147,11 +155,12 @@
         expected_ms: u64,
         spent_ms: u64,
     },
-    /// An attempt was given up after a silence that speaks against the upstream.
+    /// An attempt was abandoned after `after_ms` without a response, which counts against the upstream.
     AttemptGivenUp { request: String, upstream: Name, after_ms: u64 },
-    /// A request got an upstream's answer.
+    /// A request was answered by an upstream.
     RequestAnswered { request: String, route: Name, version: u64, status: u16, attempts: u32, spent_ms: u64 },
-    /// A request was answered in an upstream's place; `version` is the configuration that decided, 0 for none.
+    /// A request was answered with an error by this process; `version` is that of the configuration it was
+    /// checked against, 0 if there was none.
     RequestRefused {
         request: String,
         route: Option<Name>,
@@ -161,33 +170,34 @@
         attempts: u32,
         spent_ms: u64,
         come_back_ms: Option<u32>,
-        /// Upstreams of the service, if none of them may get work.
+        /// Number of upstreams of the service, if none of them is available.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         upstreams: Option<u64>,
-        /// Those of them that asked for no requests for a time.
+        /// How many of these are backing off.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         backing_off: Option<u64>,
-        /// Those of them that get as many requests as their limits allow; none if there are none.
+        /// How many of these have reached their request limit; `None` if there are none.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         limited: Option<u64>,
-        /// Time until the first of these may get work.
+        /// Time until the first of the upstreams that back off or are limited is available.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         back_in_ms: Option<u64>,
-        /// What tells the same request when a caller sends it again; given for requests that are quarantined.
+        /// Digest that identifies the same request when a caller resends it; set for quarantined requests.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         fingerprint: Option<String>,
     },
-    /// Upstreams crash under a request, so it is sent to none for a time; `crashes` in a row are known.
+    /// A request is sent to no upstream for `hold_ms`, since upstreams crashed while running it `crashes`
+    /// times in a row.
     RequestQuarantined { fingerprint: String, crashes: u64, hold_ms: u64 },
-    /// A request that was quarantined has run well.
+    /// A quarantined request ran successfully.
     QuarantineLifted { fingerprint: String },
-    /// Lines were left out, since there were too many.
+    /// Log lines were suppressed by the rate limit.
     LinesLeftOut { count: u64 },
 }
 
 impl EventKind {
-    /// Whether this tells of one request, and so is logged but not kept.
-    pub const fn is_of_a_request(&self) -> bool {
+    /// Whether the event concerns a single request. Such events are logged but not kept in the timeline.
+    pub const fn is_request_event(&self) -> bool {
         matches!(
             self,
             Self::AttemptEnded { .. }
@@ -199,7 +209,7 @@
         )
     }
 
-    /// All that it tells, as in JSON.
+    /// All fields as in JSON, including `kind`.
     pub fn fields(&self) -> Value {
         serde_json::to_value(self).unwrap_or_default()
     }
@@ -214,15 +224,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(remote = "Self")]
 pub struct Event {
-    /// Count of the process's events.
+    /// Sequence number within the process.
     pub sequence: u64,
-    /// Wall clock of the VM, in milliseconds since 1970.
+    /// Wall-clock time of the VM, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The VM.
+    /// Name of the VM.
     pub vm: Name,
-    /// The program.
+    /// The program that emitted the event.
     pub program: Program,
-    /// What changed.
+    /// What happened.
     #[serde(flatten)]
     pub kind: EventKind,
 }
@@ -233,19 +243,20 @@
     }
 }
 
-/// Older programs write `sequence` twice into an [`EventKind::UpstreamTold`], which the derived form refuses.
+/// Older versions write `sequence` twice into an [`EventKind::UpstreamTold`], which the derived
+/// implementation rejects as a duplicate field.
 impl<'de> Deserialize<'de> for Event {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let fields = deserializer.deserialize_map(EventFields)?;
+        let fields = deserializer.deserialize_map(EventVisitor)?;
         Self::deserialize(Value::Object(fields)).map_err(de::Error::custom)
     }
 }
 
-/// Reads an event's fields, of which one may stand twice: of `sequence` the first is the event's count and the second
-/// the upstream's own; of any other the last counts.
-struct EventFields;
+/// Collects an event's fields and tolerates duplicates: the first `sequence` is the event's own, the second the
+/// upstream's `entry_sequence`; of any other field the last one wins.
+struct EventVisitor;
 
-impl<'de> Visitor<'de> for EventFields {
+impl<'de> Visitor<'de> for EventVisitor {
     type Value = Map<String, Value>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/pointvane-telemetry/src/event_log.rs
+++ b/crates/pointvane-telemetry/src/event_log.rs
@@ -1,4 +1,4 @@
-//! The time line of one process: events kept in a bounded ring, each of which is also a log line.
+//! The timeline of one process: recent events in a bounded ring buffer, each also written to the log.
 
 use {
     crate::{
@@ -14,15 +14,15 @@
     },
 };
 
-/// Events that a ring holds, unless it is told otherwise.
-const RING_LIMIT: usize = 4_096;
+/// Default capacity of the ring buffer, in events.
+const DEFAULT_RING_CAPACITY: usize = 4_096;
 
-/// What an operator port answers when asked for events.
+/// Response of an operator port to `GET /events`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EventPage {
-    /// The VM's wall clock at the answer, in milliseconds since 1970.
+    /// Wall-clock time of the VM when the response was made, in milliseconds since the Unix epoch.
     pub clock_ms: u64,
-    /// Events that fell out of the ring.
+    /// Number of events evicted from the ring buffer since the process started.
     pub dropped: u64,
     /// The events, oldest first.
     pub events: Vec<Event>,
@@ -35,27 +35,27 @@
     dropped: u64,
 }
 
-/// Form of an event's log line.
+/// Layout of an event's log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineForm {
-    /// One text.
+    /// The whole event as one message.
     Text,
-    /// A field for each of the event's.
+    /// The event's kind as the message and a structured field for each of its fields.
     Fields,
 }
 
-/// The events of one process.
+/// Records the events of one process.
 #[derive(Debug)]
 pub struct EventLog {
     vm: Name,
     program: Program,
     log: slog::Logger,
     form: LineForm,
-    ring_limit: usize,
+    ring_capacity: usize,
     ring: Mutex<Ring>,
 }
 
-/// An event's fields as those of a log line.
+/// Adapts an event's JSON fields to `slog` key-value pairs.
 struct Fields(Value);
 
 impl Fields {
@@ -82,33 +82,40 @@
 }
 
 impl EventLog {
-    /// An empty ring; each event is also a log line.
+    /// Creates an empty log with text lines and the default capacity.
     pub fn new(vm: Name, program: Program, log: slog::Logger) -> Self {
-        Self { vm, program, log, form: LineForm::Text, ring_limit: RING_LIMIT, ring: Mutex::default() }
+        Self {
+            vm,
+            program,
+            log,
+            form: LineForm::Text,
+            ring_capacity: DEFAULT_RING_CAPACITY,
+            ring: Mutex::default(),
+        }
     }
 
-    /// The same, with log lines in the given form.
+    /// Sets the layout of log lines.
     pub fn with_lines(self, form: LineForm) -> Self {
         Self { form, ..self }
     }
 
-    /// The same, with a ring that holds so many events.
-    pub fn with_ring(self, ring_limit: usize) -> Self {
-        Self { ring_limit, ..self }
+    /// Sets the capacity of the ring buffer, in events.
+    pub fn with_ring(self, ring_capacity: usize) -> Self {
+        Self { ring_capacity, ..self }
     }
 
-    /// Notes an event.
+    /// Records an event and logs it. With [`LineForm::Fields`], events on single requests are only logged.
     pub fn note(&self, kind: EventKind) {
         if self.form == LineForm::Fields {
             let fields = Fields(kind.fields());
             slog::info!(self.log, "{}", fields.name(); &fields);
         }
-        if self.form == LineForm::Text || !kind.is_of_a_request() {
+        if self.form == LineForm::Text || !kind.is_request_event() {
             self.keep(kind);
         }
     }
 
-    /// Notes an event without a log line, unless lines are texts of the kept events.
+    /// Records an event. It is logged only with [`LineForm::Text`], where every recorded event is a line.
     pub fn keep(&self, kind: EventKind) {
         let mut ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
         ring.sequence += 1;
@@ -122,14 +129,14 @@
         if self.form == LineForm::Text {
             slog::info!(self.log, "{}", event);
         }
-        if ring.events.len() == self.ring_limit {
+        if ring.events.len() == self.ring_capacity {
             ring.events.pop_front();
             ring.dropped += 1;
         }
         ring.events.push_back(event);
     }
 
-    /// The events after a sequence number.
+    /// The recorded events with a sequence number above `after`, oldest first.
     pub fn page(&self, after: u64) -> EventPage {
         let ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
         let events = ring.events.iter().filter(|event| event.sequence > after).cloned().collect();
--- a/crates/pointvane-telemetry/src/gate.rs
+++ b/crates/pointvane-telemetry/src/gate.rs
@@ -1,16 +1,16 @@
-//! Bounds of log lines: a sample of successes, failures and changes of state up to a rate each, and a count of what was
-//! suppressed.
+//! Rate limit for log lines: a sample of successes, a bounded rate of failures and of state changes, and a
+//! count of the lines suppressed.
 
 use pointvane_core::US_PER_S;
 
-/// How many lines are written. Not measured; bounded lines were cheaper on the users' days (docs/MEASUREMENTS.md).
+/// Limits on log lines. Bounded logging costs a node less than a line for every request and state change.
 #[derive(Clone, Copy, Debug)]
 pub struct LineGateOptions {
-    /// One of so many lines on successes is written.
+    /// One in this many lines on successes is written.
     pub successes_every: u64,
-    /// Lines on failures that are written each second.
+    /// Maximum lines on failures per second.
     pub failures_per_s: u64,
-    /// Lines on changes of state of upstreams and other nodes that are written each second.
+    /// Maximum lines on state changes of upstreams and other nodes per second.
     pub changes_per_s: u64,
 }
 
@@ -20,16 +20,18 @@
     }
 }
 
-/// What becomes of a line.
+/// Whether a line may be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GateDecision {
-    /// Whether it is written.
+    /// Whether the line may be written.
     pub written: bool,
-    /// Lines suppressed in the last second that had any, to be logged now.
+    /// Lines suppressed in the last second with a failure or state change, if any; the caller logs this count
+    /// now.
     pub suppressed: Option<u64>,
 }
 
-/// The gate of one process.
+/// Rate limiter for the log lines of one process. Failures and state changes are limited separately, each per
+/// second of the clock that the caller passes in.
 #[derive(Debug, Default)]
 pub struct LineGate {
     options: LineGateOptions,
@@ -41,37 +43,38 @@
 }
 
 impl LineGate {
-    /// A gate that has let nothing pass.
+    /// Creates a limiter with empty counts.
     pub fn new(options: LineGateOptions) -> Self {
         Self { options, ..Self::default() }
     }
 
-    /// Asks for a line on something that went successes.
+    /// Whether a line on a success may be written.
     pub fn success(&mut self) -> bool {
         self.successes += 1;
         self.successes.is_multiple_of(self.options.successes_every.max(1))
     }
 
-    /// Asks for a line on something that went wrong.
+    /// Whether a line on a failure may be written at `now_us`.
     pub fn failure(&mut self, now_us: u64) -> GateDecision {
-        let suppressed = self.begin_second(now_us);
+        let suppressed = self.roll_over(now_us);
         let written = self.failures_written < self.options.failures_per_s;
         self.failures_written += u64::from(written);
         self.suppressed += u64::from(!written);
         GateDecision { written, suppressed }
     }
 
-    /// Asks for a line on a belief about an upstream or another node.
+    /// Whether a line on a state change of an upstream or another node may be written at `now_us`.
     pub fn change(&mut self, now_us: u64) -> GateDecision {
-        let suppressed = self.begin_second(now_us);
+        let suppressed = self.roll_over(now_us);
         let written = self.changes_written < self.options.changes_per_s;
         self.changes_written += u64::from(written);
         self.suppressed += u64::from(!written);
         GateDecision { written, suppressed }
     }
 
-    /// Begins a new second if there is one; gives the count of lines left out before.
-    fn begin_second(&mut self, now_us: u64) -> Option<u64> {
+    /// Resets the per-second counts when `now_us` lies in another second, and returns the lines suppressed
+    /// before, if any.
+    fn roll_over(&mut self, now_us: u64) -> Option<u64> {
         if now_us / US_PER_S == self.second {
             return None;
         }
--- a/crates/pointvane-telemetry/src/lib.rs
+++ b/crates/pointvane-telemetry/src/lib.rs
@@ -1,7 +1,7 @@
-//! Logs, metrics, time-line events and the operator port; the same in every program.
+//! Logging, metrics, timeline events and the operator port, shared by all programs.
 //!
-//! Entry, control and locate count requests and log changes of state only. A node logs decisions on requests too,
-//! bounded by a [`LineGate`].
+//! Entry, control and locate count requests and log state changes only. A node also logs decisions on single
+//! requests, rate-limited by a [`LineGate`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -22,5 +22,5 @@
     log::{LineFlush, logger, stdout_logger},
     metrics::Metrics,
     operator::{OperatorPort, OperatorState, serve_operator},
-    program::{EXIT_FAULTY, ProgramArgs, settings_logger},
+    program::{EXIT_INVALID_INPUT, ProgramArgs, settings_logger},
 };
--- a/crates/pointvane-telemetry/src/log.rs
+++ b/crates/pointvane-telemetry/src/log.rs
@@ -1,4 +1,4 @@
-//! Set-up of `slog`.
+//! `slog` set-up.
 
 use {
     pointvane_core::Name,
@@ -6,36 +6,37 @@
     std::{fmt, io, str::FromStr, sync::mpsc, thread, time::Duration},
 };
 
-/// Lines that may wait to be written; more are dropped and counted by `slog-async`.
-const WAITING_LINES_MAX: usize = 1_024;
+/// Capacity of the queue of lines to be written; `slog-async` drops further lines and counts them.
+const QUEUED_LINES_MAX: usize = 1_024;
 
-/// A logger to standard error: JSON lines, or text for people.
+/// Creates a logger to standard error that writes JSON lines or human-readable text. An unknown `level` means
+/// "info".
 pub fn logger(program: &'static str, vm: &Name, level: &str, json: bool) -> Logger {
     let level = Level::from_str(level).unwrap_or(Level::Info);
     let values = o!("program" => program, "vm" => vm.to_string());
     if json {
         let drain = slog_json::Json::default(io::stderr()).fuse();
-        return Logger::root(LevelFilter::new(in_background(drain), level).fuse(), values);
+        return Logger::root(LevelFilter::new(async_drain(drain), level).fuse(), values);
     }
     let decorator = slog_term::TermDecorator::new().stderr().build();
     let drain = slog_term::FullFormat::new(decorator).use_utc_timestamp().build().fuse();
-    Logger::root(LevelFilter::new(in_background(drain), level).fuse(), values)
+    Logger::root(LevelFilter::new(async_drain(drain), level).fuse(), values)
 }
 
-/// A logger of JSON lines to standard output, for processes whose lines a platform gathers.
+/// Creates a logger of JSON lines to standard output, for processes whose output a platform collects.
 ///
-/// It never blocks: lines beyond a bound that wait for a reader are dropped, and their number is told. The last lines
-/// are written by [`LineFlush::flush`], before the process ends.
+/// Logging never blocks: when the reader falls behind and the queue is full, lines are dropped and their
+/// number is logged. Call [`LineFlush::flush`] before the process ends to write the remaining lines.
 pub fn stdout_logger(program: &'static str, vm: &Name) -> (Logger, LineFlush) {
     let values = o!("program" => program, "vm" => vm.to_string());
     let drain = slog_json::Json::default(io::stdout()).fuse();
-    let (lines, guard) = slog_async::Async::new(drain).chan_size(WAITING_LINES_MAX).build_with_guard();
-    (Logger::root(lines.fuse(), values), LineFlush { lines: guard })
+    let (queue, guard) = slog_async::Async::new(drain).chan_size(QUEUED_LINES_MAX).build_with_guard();
+    (Logger::root(queue.fuse(), values), LineFlush { drain_guard: guard })
 }
 
-/// Writes the lines that wait for a reader, as long as it reads.
+/// Flushes the queued log lines.
 pub struct LineFlush {
-    lines: slog_async::AsyncGuard,
+    drain_guard: slog_async::AsyncGuard,
 }
 
 impl fmt::Debug for LineFlush {
@@ -45,21 +46,22 @@
 }
 
 impl LineFlush {
-    /// Waits until all lines are written, at most for a time: the reader may stand still.
-    pub fn flush(self, patience: Duration) {
+    /// Waits until all queued lines are written, at most for `timeout`, since the reader of standard output
+    /// may have stopped reading.
+    pub fn flush(self, timeout: Duration) {
         let (done, flushed) = mpsc::channel();
         thread::spawn(move || {
-            drop(self.lines);
-            // Nobody waits any more if the reader stood still.
+            drop(self.drain_guard);
+            // The receiver is gone if the wait timed out.
             _ = done.send(());
         });
-        _ = flushed.recv_timeout(patience);
+        _ = flushed.recv_timeout(timeout);
     }
 }
 
-fn in_background<D>(drain: D) -> slog::Fuse<slog_async::Async>
+fn async_drain<D>(drain: D) -> slog::Fuse<slog_async::Async>
 where
     D: Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
-    slog_async::Async::new(drain).chan_size(WAITING_LINES_MAX).build().fuse()
+    slog_async::Async::new(drain).chan_size(QUEUED_LINES_MAX).build().fuse()
 }
--- a/crates/pointvane-telemetry/src/metrics.rs
+++ b/crates/pointvane-telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Set-up of `opentelemetry` metrics, read in the Prometheus text format.
+//! `opentelemetry` metrics, exported in the Prometheus text format.
 
 use {
     eyre::{Result, WrapErr},
@@ -7,7 +7,7 @@
     prometheus::{Registry, TextEncoder},
 };
 
-/// The metrics of one process.
+/// Registry and meter provider of one process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -15,10 +15,10 @@
 }
 
 impl Metrics {
-    /// A registry with an exporter.
+    /// Creates a registry with a Prometheus exporter.
     ///
     /// # Errors
-    /// Those of the exporter.
+    /// When the exporter cannot be built.
     pub fn new() -> Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -30,12 +30,12 @@
         Ok(Self { registry, provider })
     }
 
-    /// Where instruments are made.
+    /// The meter with which instruments are created.
     pub fn meter(&self) -> Meter {
         self.provider.meter("pointvane")
     }
 
-    /// All metrics in the Prometheus text format.
+    /// All metrics in the Prometheus text format; empty if they cannot be encoded.
     pub fn text(&self) -> String {
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
--- a/crates/pointvane-telemetry/src/operator.rs
+++ b/crates/pointvane-telemetry/src/operator.rs
@@ -1,6 +1,6 @@
-//! The operator port: metrics, events and status over HTTP, by `rouille`.
+//! The operator port: metrics, events and status over HTTP, served by `rouille`.
 //!
-//! Its connections are few and short, so that `rouille`'s way with kept connections does no harm here.
+//! Connections to it are few and short, so `rouille`'s handling of keep-alive connections is acceptable here.
 
 use {
     crate::{event_log::EventLog, metrics::Metrics},
@@ -18,18 +18,19 @@
     },
 };
 
-const POLL: Duration = Duration::from_millis(100);
+/// Interval at which the server thread checks whether it should stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a program shows on its operator port.
+/// Provides the status that a program serves on its operator port.
 pub trait OperatorState: Send + Sync + 'static {
-    /// Shape of the status.
+    /// The status, served as JSON.
     type Status: Serialize;
 
-    /// The status now.
+    /// The current status.
     fn status(&self) -> Self::Status;
 }
 
-/// A running operator port; it ends when this is dropped.
+/// A running operator port; dropping it stops the server.
 #[derive(Debug)]
 pub struct OperatorPort {
     stop: Arc<AtomicBool>,
@@ -44,26 +45,26 @@
 /// Serves `/metrics`, `/events?after=N` and `/status` until the returned value is dropped.
 ///
 /// # Errors
-/// When the address cannot be listened on.
+/// When the server cannot listen on `address`.
 pub fn serve_operator<S: OperatorState>(
     address: SocketAddr,
     metrics: Arc<Metrics>,
     events: Arc<EventLog>,
     state: Arc<S>,
 ) -> Result<OperatorPort> {
-    let handle = move |request: &Request| answer(request, &metrics, &events, &*state);
+    let handle = move |request: &Request| respond(request, &metrics, &events, &*state);
     let server = Server::new(address, handle).map_err(|error| eyre!("operator port {address}: {error}"))?;
     let stop = Arc::new(AtomicBool::new(false));
     let port = OperatorPort { stop: Arc::clone(&stop) };
     thread::spawn(move || {
         while !stop.load(Ordering::Relaxed) {
-            server.poll_timeout(POLL);
+            server.poll_timeout(POLL_INTERVAL);
         }
     });
     Ok(port)
 }
 
-fn answer<S: OperatorState>(request: &Request, metrics: &Metrics, events: &EventLog, state: &S) -> Response {
+fn respond<S: OperatorState>(request: &Request, metrics: &Metrics, events: &EventLog, state: &S) -> Response {
     router!(request,
         (GET) ["/metrics"] => { Response::text(metrics.text()) },
         (GET) ["/events"] => {
--- a/crates/pointvane-telemetry/src/program.rs
+++ b/crates/pointvane-telemetry/src/program.rs
@@ -1,4 +1,4 @@
-//! What every program does first: arguments, settings, logger.
+//! Common start-up of the programs: arguments, settings and logger.
 
 use {
     clap::Parser,
@@ -6,8 +6,8 @@
     std::{path::PathBuf, process},
 };
 
-/// Exit code for faulty arguments, settings or files.
-pub const EXIT_FAULTY: i32 = 2;
+/// Exit code for invalid arguments, settings or files.
+pub const EXIT_INVALID_INPUT: i32 = 2;
 
 /// Arguments of the programs on an entry VM.
 #[derive(Debug, Parser)]
@@ -16,13 +16,14 @@
     /// The VM's settings file, in TOML.
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
-    /// Check the settings, print every fault and end.
+    /// Check the settings, print all errors and exit.
     #[arg(long)]
     pub check: bool,
 }
 
 impl ProgramArgs {
-    /// The checked settings; ends the process with code 2 on a fault, and with 0 after `--check`.
+    /// Reads and validates the settings. Exits the process with [`EXIT_INVALID_INPUT`] if they are invalid,
+    /// and with 0 after `--check`.
     pub fn settings(&self) -> Settings {
         match read_settings(&self.config) {
             Ok(_) if self.check => {
@@ -32,13 +33,13 @@
             Ok(settings) => settings,
             Err(faults) => {
                 eprintln!("{faults}");
-                process::exit(EXIT_FAULTY)
+                process::exit(EXIT_INVALID_INPUT)
             }
         }
     }
 }
 
-/// The logger that the settings ask for.
+/// Creates the logger configured in the settings.
 pub fn settings_logger(program: crate::Program, settings: &Settings) -> slog::Logger {
     let json = settings.log.format == LogFormat::Json;
     crate::logger(program.as_str(), &settings.vm.name, settings.log.level, json)
--- a/crates/pointvane-telemetry/tests/event_format.rs
+++ b/crates/pointvane-telemetry/tests/event_format.rs
@@ -1,4 +1,4 @@
-//! Names and fields of all events stay as they are, in `/events` and in log lines.
+//! Guards the names and fields of all events, which `/events` and log lines expose to tools outside.
 
 use {
     googletest::prelude::*,
@@ -6,10 +6,10 @@
     pointvane_telemetry::{Event, EventKind, EventPage, Program},
 };
 
-/// One event a line, as JSON.
+/// Expected JSON, one event per line.
 const GOLDEN: &str = include_str!("golden/events.txt");
-/// The form of `/events` before `entry_sequence`: the upstream's own count was named `sequence` as well.
-const UPSTREAM_TOLD_BEFORE: &str = r#"{"sequence":1,"at_ms":7,"vm":"vm-1","program":"node","kind":"upstream-told","service":"board","upstream":"i-7","draining":false,"sequence":5}"#;
+/// Old format of `/events`, in which `entry_sequence` was also named `sequence`.
+const OLD_UPSTREAM_TOLD: &str = r#"{"sequence":1,"at_ms":7,"vm":"vm-1","program":"node","kind":"upstream-told","service":"board","upstream":"i-7","draining":false,"sequence":5}"#;
 
 fn state_changes() -> Vec<EventKind> {
     let (service, upstream) = (Name::from("board"), Name::from("i-7"));
@@ -48,13 +48,13 @@
     ]
 }
 
-/// Kinds that came later, so that the numbers of those above stay.
-fn later_state_changes() -> Vec<EventKind> {
+/// Kinds added later; they come last so that the sequence numbers in the golden file stay the same.
+fn later_events() -> Vec<EventKind> {
     vec![
         EventKind::PlatformCalled { call: "changes".into(), reason: "lease-over".into() },
         EventKind::UpstreamBackingOff { service: "board".into(), upstream: "i-7".into(), back_off_ms: 3_000 },
-        turned_away(),
-        refused_while_all_back_off(),
+        attempt_rejected_busy(),
+        request_refused_all_backing_off(),
         limit_changed(Some(2_500)),
         limit_changed(None),
     ]
@@ -64,7 +64,7 @@
     EventKind::UpstreamLimitChanged { service: "board".into(), upstream: "i-7".into(), per_1000_s }
 }
 
-fn turned_away() -> EventKind {
+fn attempt_rejected_busy() -> EventKind {
     EventKind::AttemptEnded {
         request: "r-1".into(),
         fingerprint: None,
@@ -84,7 +84,7 @@
     }
 }
 
-fn refused_while_all_back_off() -> EventKind {
+fn request_refused_all_backing_off() -> EventKind {
     EventKind::RequestRefused {
         request: "r-1".into(),
         route: Some("read".into()),
@@ -102,7 +102,7 @@
     }
 }
 
-fn decisions_on_requests() -> Vec<EventKind> {
+fn request_events() -> Vec<EventKind> {
     let upstream = Name::from("i-7");
     vec![
         EventKind::AttemptEnded {
@@ -176,9 +176,9 @@
 }
 
 #[gtest]
-fn every_event_is_written_as_it_always_was_and_reads_back() {
+fn every_event_matches_the_golden_file_and_round_trips() {
     let mut lines = String::new();
-    let kinds = state_changes().into_iter().chain(decisions_on_requests()).chain(later_state_changes());
+    let kinds = state_changes().into_iter().chain(request_events()).chain(later_events());
     for (sequence, kind) in kinds.enumerate() {
         let event =
             Event { sequence: sequence as u64, at_ms: 7, vm: "vm-1".into(), program: Program::Node, kind };
@@ -200,21 +200,21 @@
 }
 
 #[gtest]
-fn an_upstream_told_event_reads_back() {
+fn an_upstream_told_event_round_trips() {
     let event = upstream_told();
     let text = serde_json::to_string(&event).unwrap();
     expect_that!(serde_json::from_str::<Event>(&text), ok(eq(&event)), "{text}");
 }
 
 #[gtest]
-fn an_upstream_told_event_of_the_form_before_reads_back() {
-    expect_that!(serde_json::from_str::<Event>(UPSTREAM_TOLD_BEFORE), ok(eq(&upstream_told())));
-    let page = format!(r#"{{"clock_ms":1,"dropped":2,"events":[{UPSTREAM_TOLD_BEFORE}]}}"#);
+fn an_upstream_told_event_in_the_old_format_is_read() {
+    expect_that!(serde_json::from_str::<Event>(OLD_UPSTREAM_TOLD), ok(eq(&upstream_told())));
+    let page = format!(r#"{{"clock_ms":1,"dropped":2,"events":[{OLD_UPSTREAM_TOLD}]}}"#);
     expect_that!(serde_json::from_str::<EventPage>(&page).unwrap().events, eq(&vec![upstream_told()]));
 }
 
 #[gtest]
-fn a_field_that_stands_twice_does_not_make_an_event_unreadable() {
+fn an_event_with_duplicate_fields_is_read() {
     let text = r#"{"sequence":1,"at_ms":7,"vm":"vm-0","program":"node","kind":"watch-renewed","revision":6,"revision":7,"sequence":9,"vm":"vm-1"}"#;
     let kind = EventKind::WatchRenewed { revision: 7 };
     let event = Event { sequence: 1, at_ms: 7, vm: "vm-1".into(), program: Program::Node, kind };
@@ -223,7 +223,7 @@
 }
 
 #[gtest]
-fn programs_and_the_page_of_events_keep_their_names() {
+fn program_names_and_event_page_fields_are_unchanged() {
     let programs = [Program::Entry, Program::Control, Program::Locate, Program::Node];
     expect_that!(programs.map(Program::as_str), eq(["entry", "control", "locate", "node"]));
     let page = EventPage { clock_ms: 1, dropped: 2, events: Vec::new() };
@@ -231,8 +231,8 @@
 }
 
 #[gtest]
-fn events_of_requests_are_logged_but_not_kept() {
-    expect_that!(decisions_on_requests().iter().all(EventKind::is_of_a_request), eq(true));
-    let kept = state_changes().into_iter().filter(|kind| !kind.is_of_a_request());
+fn request_events_are_classified_as_not_kept() {
+    expect_that!(request_events().iter().all(EventKind::is_request_event), eq(true));
+    let kept = state_changes().into_iter().filter(|kind| !kind.is_request_event());
     expect_that!(kept.count(), eq(state_changes().len() - 1));
 }
--- a/crates/pointvane-telemetry/tests/events.rs
+++ b/crates/pointvane-telemetry/tests/events.rs
@@ -1,4 +1,4 @@
-//! The time line's events: each reads back as it was written, and the ring is bounded.
+//! Events round-trip through JSON, and the ring buffer and log lines are bounded.
 
 use {
     googletest::prelude::*,
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn every_kind_reads_back_as_it_was_written() {
+fn every_kind_round_trips() {
     for (sequence, kind) in every_kind().into_iter().enumerate() {
         let event = Event {
             sequence: sequence as u64,
@@ -51,7 +51,7 @@
 }
 
 #[gtest]
-fn the_ring_is_bounded_and_counts_what_fell_out() {
+fn the_ring_is_bounded_and_counts_dropped_events() {
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let events = EventLog::new("entry-1".into(), Program::Entry, log);
     for _ in 0..5_000 {
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn lines_on_beliefs_are_bounded_apart_from_those_on_requests_and_counted_when_left_out() {
+fn state_change_and_failure_lines_are_limited_separately_and_suppressed_lines_counted() {
     let options = LineGateOptions { changes_per_s: 3, failures_per_s: 2, ..LineGateOptions::default() };
     let mut gate = LineGate::new(options);
     let changes = (0..10).filter(|_| gate.change(1_500_000).written).count();
@@ -76,7 +76,7 @@
 }
 
 #[gtest]
-fn a_ring_of_another_size_is_bounded_too_and_holds_what_has_no_line() {
+fn a_custom_ring_capacity_bounds_events_without_log_lines() {
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let events =
         EventLog::new("node-1".into(), Program::Node, log).with_lines(LineForm::Fields).with_ring(10);
