--- a/crates/pointvane/src/explain.rs
+++ b/crates/pointvane/src/explain.rs
@@ -1,5 +1,5 @@
-//! `pointvane explain`: the lines of one request from the logs of several processes, and what the processes that
-//! decided on it believed at the time.
+//! `pointvane explain`: the log lines of one request from the logs of several processes, with the state
+//! that the processes handling it had last logged at the time.
 
 use {
     crate::Output,
@@ -12,21 +12,21 @@
     },
 };
 
-/// One line of a log.
+/// A parsed log line.
 #[derive(Clone, Debug)]
 struct LogLine {
-    /// The line's own time, as text that sorts.
+    /// The line's timestamp, in a text format that sorts by time.
     at: String,
-    /// The VM that wrote it.
+    /// Name of the VM that wrote it.
     vm: String,
     /// The event's name.
     event: String,
-    /// All its fields.
+    /// All fields of the line.
     fields: Value,
 }
 
-/// Events that change what a process believes of the whole.
-const BELIEFS: [&str; 13] = [
+/// Events that change a process's state as a whole, rather than that of one upstream.
+const PROCESS_STATE_EVENTS: [&str; 13] = [
     "started",
     "stopping",
     "stopped",
@@ -41,22 +41,23 @@
     "item-refused",
     "lines-left-out",
 ];
-/// Lines of one belief that are shown, the newest.
-const SHOWN_PER_BELIEF: usize = 1;
-/// Events on a request under which upstreams crash.
+/// How many lines of one kind of state change are shown, newest first.
+const SHOWN_PER_KIND: usize = 1;
+/// Events on the quarantine of a request that crashes upstreams.
 const QUARANTINE_EVENTS: [&str; 2] = ["request-quarantined", "quarantine-lifted"];
-/// The event on one attempt.
+/// Event on the end of an attempt.
 const ATTEMPT_ENDED: &str = "attempt-ended";
-/// Failed attempts of the same request under other identities that are shown, the newest: as many as quarantine it, and one more.
-const SHOWN_ATTEMPTS: usize = 3;
-/// Fields that every line has.
+/// How many failed attempts of the same request under other request ids are shown, newest first: one more
+/// than it takes to quarantine a request by default.
+const SHOWN_FAILED_ATTEMPTS: usize = 3;
+/// Fields that every line has and that are not shown among the others.
 const COMMON_FIELDS: [&str; 6] = ["msg", "level", "ts", "vm", "program", "request"];
 
-/// Shows the lines of a request; the exit code is 1 when there are none, 2 when a file cannot be read.
+/// Prints the lines of a request. The exit code is 1 when there are none and 2 when a file cannot be read.
 pub fn show(request: &str, files: &[PathBuf], output: Output) -> ExitCode {
     let mut lines = Vec::new();
     for file in files {
-        match read(file) {
+        match read_log(file) {
             Ok(found) => lines.extend(found),
             Err(problem) => {
                 eprintln!("{}: {problem}", file.display());
@@ -65,27 +66,28 @@
         }
     }
     lines.sort_by(|a, b| a.at.cmp(&b.at));
-    let told = explain(request, &lines);
-    if told.is_empty() {
-        eprintln!("no line names request {request}; of what went well only a sample is written");
+    let selected = explain(request, &lines);
+    if selected.is_empty() {
+        eprintln!("no log line names request {request}; only a sample of successful requests is logged");
         return ExitCode::FAILURE;
     }
-    told.iter().for_each(|line| print(line, output));
+    selected.iter().for_each(|line| print_line(line, output));
     ExitCode::SUCCESS
 }
 
-fn read(file: &Path) -> std::io::Result<Vec<LogLine>> {
-    Ok(fs::read_to_string(file)?.lines().filter_map(parse).collect())
+fn read_log(file: &Path) -> std::io::Result<Vec<LogLine>> {
+    Ok(fs::read_to_string(file)?.lines().filter_map(parse_line).collect())
 }
 
-/// A line of JSON, whatever stands before it.
-fn parse(text: &str) -> Option<LogLine> {
+/// Parses a JSON log line; any text before the first brace is ignored.
+fn parse_line(text: &str) -> Option<LogLine> {
     let fields: Value = serde_json::from_str(&text[text.find('{')?..]).ok()?;
     let field = |name: &str| Some(fields.get(name)?.as_str()?.to_owned());
     Some(LogLine { at: field("ts")?, vm: field("vm")?, event: field("msg")?, fields })
 }
 
-/// The request's own lines, and before them what the processes that wrote them believed.
+/// Selects the lines of a request, and of the processes that wrote them the last state changes before its
+/// last line. The result is sorted by time.
 fn explain<'l>(request: &str, lines: &'l [LogLine]) -> Vec<&'l LogLine> {
     let is_own = |line: &&LogLine| line.fields["request"] == request;
     let own: Vec<&LogLine> = lines.iter().filter(is_own).collect();
@@ -96,78 +98,81 @@
     let upstreams: BTreeSet<&str> = own.iter().filter_map(|line| line.fields["upstream"].as_str()).collect();
     let fingerprints: BTreeSet<&str> =
         own.iter().filter_map(|line| line.fields["fingerprint"].as_str()).collect();
-    let mut told = Vec::new();
+    let mut selected = Vec::new();
     for vm in vms {
         let before = || lines.iter().rev().filter(|line| line.vm == vm && line.at <= last.at);
-        for belief in BELIEFS {
-            told.extend(before().filter(|line| line.event == belief).take(SHOWN_PER_BELIEF));
+        for kind in PROCESS_STATE_EVENTS {
+            selected.extend(before().filter(|line| line.event == kind).take(SHOWN_PER_KIND));
         }
         for upstream in &upstreams {
-            let of_it =
+            let about_upstream =
                 |line: &&LogLine| line.event.starts_with("upstream-") && line.fields["upstream"] == *upstream;
-            told.extend(before().filter(of_it).take(SHOWN_PER_BELIEF));
+            selected.extend(before().filter(about_upstream).take(SHOWN_PER_KIND));
         }
     }
     for fingerprint in fingerprints {
-        told.extend(of_the_same_request(request, fingerprint, lines, &last.at));
+        selected.extend(related_lines(request, fingerprint, lines, &last.at));
     }
-    told.extend(own);
-    told.sort_by(|a, b| a.at.cmp(&b.at));
-    told
+    selected.extend(own);
+    selected.sort_by(|a, b| a.at.cmp(&b.at));
+    selected
 }
 
-/// What the same request did before under other identities, on any VM: its last quarantine and its last failed attempts.
-fn of_the_same_request<'l>(
+/// Earlier lines on the same request under other request ids, on any VM: its last quarantine and last failed
+/// attempts.
+fn related_lines<'l>(
     request: &str,
     fingerprint: &str,
     lines: &'l [LogLine],
     until: &str,
 ) -> Vec<&'l LogLine> {
-    // Up to the hyphen: whatever query and body.
-    let head = |fingerprint: &str| fingerprint.split('-').next().map(String::from);
+    // The part before the hyphen is the same whatever the query and body.
+    let prefix = |fingerprint: &str| fingerprint.split('-').next().map(String::from);
     let same = || {
         let before = lines.iter().rev().filter(|line| line.at.as_str() <= until);
         let others = before.filter(|line| line.fields["request"] != request);
-        others.filter(|line| line.fields["fingerprint"].as_str().and_then(head) == head(fingerprint))
+        others.filter(|line| line.fields["fingerprint"].as_str().and_then(prefix) == prefix(fingerprint))
     };
     let quarantines = same().filter(|line| QUARANTINE_EVENTS.contains(&line.event.as_str()));
     let attempts = same().filter(|line| line.event == ATTEMPT_ENDED);
-    quarantines.take(SHOWN_PER_BELIEF).chain(attempts.take(SHOWN_ATTEMPTS)).collect()
+    quarantines.take(SHOWN_PER_KIND).chain(attempts.take(SHOWN_FAILED_ATTEMPTS)).collect()
 }
 
-fn print(line: &LogLine, output: Output) {
+fn print_line(line: &LogLine, output: Output) {
     if output == Output::Json {
         return println!("{}", line.fields);
     }
     let fields = line.fields.as_object().into_iter().flatten();
-    let told = fields.filter(|(name, value)| !COMMON_FIELDS.contains(&name.as_str()) && !value.is_null());
-    let told: Vec<String> = told.map(|(name, value)| format!("{name}={}", plain(value))).collect();
-    println!("{} {:<20} {:<24} {}", line.at, line.vm, line.event, told.join(" "));
-    if let Some(sentence) = withheld(&line.fields) {
+    let selected = fields.filter(|(name, value)| !COMMON_FIELDS.contains(&name.as_str()) && !value.is_null());
+    let selected: Vec<String> =
+        selected.map(|(name, value)| format!("{name}={}", format_value(value))).collect();
+    println!("{} {:<20} {:<24} {}", line.at, line.vm, line.event, selected.join(" "));
+    if let Some(sentence) = unavailability(&line.fields) {
         println!("    {sentence}");
     }
 }
 
-/// What kept work from a whole service when a request was refused, in a sentence.
-fn withheld(fields: &Value) -> Option<String> {
+/// Explains in a sentence why no upstream of a service was available when a request was refused; `None` for
+/// other lines.
+fn unavailability(fields: &Value) -> Option<String> {
     let number = |name: &str| fields.get(name)?.as_u64();
     let (upstreams, backing_off) = (number("upstreams")?, number("backing_off")?);
     let limited = number("limited").unwrap_or(0);
     let at_limits = match limited {
         0 => String::new(),
-        limited => format!(", {limited} get as many requests as they take"),
+        limited => format!(", {limited} at their request limit"),
     };
     let rest = match upstreams.saturating_sub(backing_off + limited) {
         0 => String::new(),
-        others => format!(", {others} get no work for other reasons"),
+        others => format!(", {others} unavailable for other reasons"),
     };
     let first = number("back_in_ms")
         .map_or(String::new(), |back_in_ms| format!(", the first for another {back_in_ms} ms"));
     Some(format!(
-        "no upstream may get work: {backing_off} of {upstreams} want no requests{at_limits}{first}{rest}"
+        "no upstream may get work: {backing_off} of {upstreams} backing off{at_limits}{first}{rest}"
     ))
 }
 
-fn plain(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), Into::into)
 }
--- a/crates/pointvane/src/files.rs
+++ b/crates/pointvane/src/files.rs
@@ -1,4 +1,4 @@
-//! Checking, packing and comparing of file sets.
+//! The `check`, `pack` and `diff` commands, which work on configuration file sets.
 
 use {
     crate::Output,
@@ -12,19 +12,19 @@
     },
 };
 
-/// Exit code for faulty files.
-const FAULTY: u8 = 2;
-/// Exit code when something is refused or cannot be read.
-const REFUSED: u8 = 1;
+/// Exit code for an invalid file set.
+const EXIT_INVALID_FILES: u8 = 2;
+/// Exit code when the operation is refused or a file cannot be read or written.
+const EXIT_REFUSED: u8 = 1;
 
 /// Why a file set or a packed value cannot be used.
 #[derive(Debug)]
 enum FileError {
     /// The file cannot be read.
     Unreadable { path: PathBuf, source: io::Error },
-    /// The file is no packed value.
+    /// The file does not hold a packed value.
     Packed { path: PathBuf, source: PackError },
-    /// The file set has faults; each names its file, line, key and remedy.
+    /// The file set is invalid; each fault names its file, line, key and remedy.
     Faults(Faults),
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// `pointvane check`.
+/// Runs `pointvane check`: validates the file set in `directory`.
 pub fn check(directory: &Path, output: Output) -> ExitCode {
     match check_directory(directory) {
         Ok(configuration) => {
@@ -52,32 +52,33 @@
     }
 }
 
-/// `pointvane pack`.
+/// Runs `pointvane pack`: writes the file set in `directory` to `out` as one value. Fails unless its revision
+/// is above that of the packed value `newer_than`.
 pub fn pack_set(directory: &Path, out: &Path, newer_than: Option<&Path>, output: Output) -> ExitCode {
     let configuration = match read_directory(directory) {
         Ok(configuration) => configuration,
         Err(faults) => return print_faults(&faults, output),
     };
-    let published = match newer_than.map(read_value).transpose() {
+    let published = match newer_than.map(read_packed).transpose() {
         Ok(published) => published,
-        Err(error) => return refuse(&error.to_string()),
+        Err(error) => return fail(&error.to_string()),
     };
     if let Some(published) = published.filter(|published| published.revision >= configuration.revision) {
-        return refuse(&format!(
+        return fail(&format!(
             "revision {} is not newer than the published {}; raise revision in fleet.toml",
             configuration.revision, published.revision
         ));
     }
     match pack(&configuration) {
-        Ok(value) => write(out, &value, configuration.revision, output),
-        Err(error @ PackError::TooLarge { .. }) => refuse(&format!("the packed value has {error}")),
-        Err(error) => refuse(&error.to_string()),
+        Ok(value) => write_packed(out, &value, configuration.revision, output),
+        Err(error @ PackError::TooLarge { .. }) => fail(&format!("the packed value has {error}")),
+        Err(error) => fail(&error.to_string()),
     }
 }
 
-fn write(out: &Path, value: &[u8], revision: u64, output: Output) -> ExitCode {
+fn write_packed(out: &Path, value: &[u8], revision: u64, output: Output) -> ExitCode {
     if let Err(error) = fs::write(out, value) {
-        return refuse(&format!("{}: {error}", out.display()));
+        return fail(&format!("{}: {error}", out.display()));
     }
     let bytes = value.len();
     match output {
@@ -87,12 +88,12 @@
     ExitCode::SUCCESS
 }
 
-/// `pointvane diff`.
+/// Runs `pointvane diff`: prints the differences of two file sets or packed values.
 pub fn compare(old: &Path, new: &Path, output: Output) -> ExitCode {
-    let sets = read_either(old).and_then(|old| Ok((old, read_either(new)?)));
+    let sets = read_set_or_packed(old).and_then(|old| Ok((old, read_set_or_packed(new)?)));
     let changes = match sets {
         Ok((old, new)) => diff(&old, &new),
-        Err(error) => return refuse(&error.to_string()),
+        Err(error) => return fail(&error.to_string()),
     };
     match output {
         Output::Text if changes.is_empty() => println!("no difference"),
@@ -102,11 +103,11 @@
     ExitCode::SUCCESS
 }
 
-fn read_either(path: &Path) -> Result<Configuration, FileError> {
-    if path.is_dir() { read_directory(path).map_err(FileError::Faults) } else { read_value(path) }
+fn read_set_or_packed(path: &Path) -> Result<Configuration, FileError> {
+    if path.is_dir() { read_directory(path).map_err(FileError::Faults) } else { read_packed(path) }
 }
 
-fn read_value(path: &Path) -> Result<Configuration, FileError> {
+fn read_packed(path: &Path) -> Result<Configuration, FileError> {
     let value = fs::read(path).map_err(|source| FileError::Unreadable { path: path.into(), source })?;
     let packed = unpack(&value).map_err(|source| FileError::Packed { path: path.into(), source })?;
     Ok(packed.configuration)
@@ -117,10 +118,10 @@
         Output::Text => eprintln!("{faults}"),
         Output::Json => println!("{}", serde_json::json!(faults)),
     }
-    ExitCode::from(FAULTY)
+    ExitCode::from(EXIT_INVALID_FILES)
 }
 
-fn refuse(problem: &str) -> ExitCode {
+fn fail(problem: &str) -> ExitCode {
     eprintln!("{problem}");
-    ExitCode::from(REFUSED)
+    ExitCode::from(EXIT_REFUSED)
 }
--- a/crates/pointvane/src/main.rs
+++ b/crates/pointvane/src/main.rs
@@ -1,6 +1,7 @@
-//! The program `pointvane`: the operators' client.
+//! The program `pointvane`: command-line client for operators.
 //!
-//! Exit codes: 0 all is well, 1 something could not be reached or is refused, 2 faulty arguments or files.
+//! Exit codes: 0 on success, 1 when a process cannot be reached or an operation is refused, 2 for invalid
+//! arguments or files.
 #![forbid(unsafe_code)]
 
 use {
@@ -15,80 +16,80 @@
 mod status;
 mod timeline;
 
-/// Checks, packs and compares file sets, and shows what runs.
+/// Checks, packs and compares configuration file sets, and shows the state of running processes.
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
     #[command(subcommand)]
     command: Command,
-    /// Form of what is printed.
+    /// Output format.
     #[arg(long, global = true, value_enum, default_value_t = Output::Text)]
     output: Output,
 }
 
-/// Form of what is printed.
+/// Output format.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Output {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// For scripts.
+    /// JSON, for scripts.
     Json,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check a whole file set and print every fault.
+    /// Check a file set and print all errors.
     Check {
         /// The directory with `fleet.toml` and `services/`.
         directory: PathBuf,
     },
-    /// Check a file set and write the one value to publish.
+    /// Check a file set and write it as a single value to publish.
     Pack {
         /// The directory with `fleet.toml` and `services/`.
         directory: PathBuf,
-        /// Where to write the value.
+        /// File to write the value to.
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
-        /// The value published now; refuse a set that is not newer.
+        /// The currently published value; fail unless the file set has a higher revision.
         #[arg(long, value_name = "FILE")]
         newer_than: Option<PathBuf>,
     },
-    /// Say in words how two file sets or packed values differ.
+    /// Print the differences of two file sets or packed values.
     Diff {
         /// A directory or a packed value.
         old: PathBuf,
         /// A directory or a packed value.
         new: PathBuf,
     },
-    /// Show every VM: revision in force, upstreams, members; and which could not be reached.
+    /// Show every VM: revision in effect, upstreams and members, and which VMs could not be reached.
     Status(nodes::FleetArgs),
-    /// Show the events of all processes as one time line.
+    /// Show the events of all processes as one timeline.
     Timeline {
         #[command(flatten)]
         fleet: nodes::FleetArgs,
         #[command(flatten)]
         filter: timeline::Filter,
     },
-    /// Gather the lines of one request from logs, with what the processes believed at the time.
+    /// Collect the log lines of one request, with the state of the processes at the time.
     Explain {
         /// The request's id.
         request: String,
-        /// Logs of nodes, in JSON lines.
+        /// Log files of nodes, in JSON lines.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Print completions for a shell.
+    /// Print a shell completion script.
     Completions {
         /// The shell.
         shell: Shell,
     },
 }
 
-/// Default operator port of the entry on a VM.
+/// Default operator port of the entry program.
 const ENTRY_PORT: u16 = 7_010;
-/// Default operator port of the control.
+/// Default operator port of the control program.
 const CONTROL_PORT: u16 = 7_011;
-/// Default operator port of the locate.
+/// Default operator port of the locate program.
 const LOCATE_PORT: u16 = 7_012;
 
 fn main() -> ExitCode {
@@ -109,7 +110,7 @@
     }
 }
 
-/// An operator port of another program on the same VM.
-fn beside(control: SocketAddr, port: u16) -> SocketAddr {
+/// Operator address of another program on the VM of `control`.
+fn operator_address(control: SocketAddr, port: u16) -> SocketAddr {
     SocketAddr::new(control.ip(), port)
 }
--- a/crates/pointvane/src/status.rs
+++ b/crates/pointvane/src/status.rs
@@ -1,18 +1,19 @@
-//! `pointvane status`.
+//! `pointvane status`: the state of all VMs.
 
 use {
     crate::{
-        Output, beside,
-        nodes::{Asker, ControlView, FleetArgs},
+        Output,
+        nodes::{ControlView, FleetArgs, OperatorClient},
+        operator_address,
     },
     serde::{Deserialize, Serialize},
     std::{net::SocketAddr, process::ExitCode},
 };
 
-/// Exit code when a VM could not be reached.
-const INCOMPLETE: u8 = 1;
+/// Exit code when some process could not be reached.
+const EXIT_INCOMPLETE: u8 = 1;
 
-/// What an entry tells, as far as it is shown.
+/// The fields of an entry program's status that are shown.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct EntryView {
     revision: u64,
@@ -41,7 +42,7 @@
     evidence_age_ms: Option<u64>,
 }
 
-/// What is shown of one VM.
+/// Status of one VM.
 #[derive(Serialize)]
 struct Row {
     address: SocketAddr,
@@ -53,40 +54,41 @@
     entry: Option<EntryView>,
 }
 
-/// Shows all VMs; the exit code is 1 if one could not be reached.
+/// Prints the status of all VMs. The exit code is 1 if a control or entry program could not be reached.
 pub fn show(fleet: &FleetArgs, output: Output) -> ExitCode {
-    let asker = Asker::default();
+    let client = OperatorClient::default();
     let rows: Vec<_> =
-        fleet.controls(&asker).into_iter().map(|control| row(fleet, &asker, control)).collect();
+        fleet.controls(&client).into_iter().map(|control| fetch_row(fleet, &client, control)).collect();
     match output {
-        Output::Text => rows.iter().for_each(print),
+        Output::Text => rows.iter().for_each(print_row),
         Output::Json => println!("{}", serde_json::json!(rows)),
     }
     let complete = rows.iter().all(|row| row.name.is_some() && row.entry.is_some());
-    if complete { ExitCode::SUCCESS } else { ExitCode::from(INCOMPLETE) }
+    if complete { ExitCode::SUCCESS } else { ExitCode::from(EXIT_INCOMPLETE) }
 }
 
-fn row(fleet: &FleetArgs, asker: &Asker, control: SocketAddr) -> Row {
-    let status = asker.json::<ControlView>(control, "/status");
-    let me = status.as_ref().and_then(|status| status.members.first()).map(|member| member.identity.clone());
+fn fetch_row(fleet: &FleetArgs, client: &OperatorClient, control: SocketAddr) -> Row {
+    let status = client.get_json::<ControlView>(control, "/status");
+    let identity =
+        status.as_ref().and_then(|status| status.members.first()).map(|member| member.identity.clone());
     Row {
         address: control,
-        name: me.as_ref().map(|me| me.name.clone()),
-        data_centre: me.map(|me| me.data_centre),
+        name: identity.as_ref().map(|identity| identity.name.clone()),
+        data_centre: identity.map(|identity| identity.data_centre),
         revision: status.as_ref().map(|status| status.configuration.revision),
         reads_platform: status.as_ref().is_some_and(|status| status.reads_platform),
         members: status.map_or(0, |status| status.members.iter().filter(|m| m.state == "Live").count()),
-        entry: asker.json(beside(control, fleet.entry_port), "/status"),
+        entry: client.get_json(operator_address(control, fleet.entry_port), "/status"),
     }
 }
 
-fn print(row: &Row) {
+fn print_row(row: &Row) {
     let (Some(name), Some(revision)) = (&row.name, row.revision) else {
         return println!("{}: control not reached", row.address);
     };
     let reader = if row.reads_platform { ", reads the platform" } else { "" };
-    let centre = row.data_centre.as_deref().unwrap_or_default();
-    println!("{name} ({centre}): revision {revision}, {} live members{reader}", row.members);
+    let data_centre = row.data_centre.as_deref().unwrap_or_default();
+    println!("{name} ({data_centre}): revision {revision}, {} live members{reader}", row.members);
     let Some(entry) = &row.entry else { return println!("  entry not reached") };
     let stopping = if entry.stopping { ", stopping" } else { "" };
     println!("  entry: revision {}, {} keys{stopping}", entry.revision, entry.keys);
@@ -104,6 +106,6 @@
         (false, None, false) => String::from("in use"),
     };
     let age =
-        upstream.evidence_age_ms.map_or("never heard".into(), |age_ms| format!("heard {age_ms} ms ago"));
-    println!("    {}: {state}, {} own, {:.1} in all, {age}", upstream.name, upstream.own, upstream.total);
+        upstream.evidence_age_ms.map_or("no evidence".into(), |age_ms| format!("evidence {age_ms} ms old"));
+    println!("    {}: {state}, {} own, {:.1} in total, {age}", upstream.name, upstream.own, upstream.total);
 }
--- a/crates/pointvane/src/timeline.rs
+++ b/crates/pointvane/src/timeline.rs
@@ -1,12 +1,13 @@
-//! `pointvane timeline`: the events of all processes, merged by this machine's clock.
+//! `pointvane timeline`: the events of all processes, ordered by the local clock.
 //!
-//! Each operator port tells its VM's clock with its events. The difference from this machine's clock is known
-//! to within half the time that the asking took; the largest such uncertainty is printed.
+//! Each operator port returns its VM's clock along with its events. The offset from the local clock is known
+//! to within half the round-trip time of the request; the largest such uncertainty is printed.
 
 use {
     crate::{
-        Output, beside,
-        nodes::{Asker, FleetArgs},
+        Output,
+        nodes::{FleetArgs, OperatorClient},
+        operator_address,
     },
     pointvane_telemetry::{Event, EventPage, wall_ms},
     std::{net::SocketAddr, process::ExitCode},
@@ -15,7 +16,7 @@
 /// Which events to show.
 #[derive(clap::Args)]
 pub struct Filter {
-    /// Only this kind, such as `upstream-leaving`.
+    /// Only events of this kind, such as `upstream-leaving`.
     #[arg(long)]
     kind: Option<String>,
     /// Only events of this VM.
@@ -24,58 +25,58 @@
     /// Only events that name this upstream.
     #[arg(long)]
     upstream: Option<String>,
-    /// Only events at or after this time, in milliseconds since 1970.
+    /// Only events at or after this time, in milliseconds since the Unix epoch.
     #[arg(long, value_name = "MS")]
     since_ms: Option<u64>,
-    /// Only the last so many.
+    /// Only this many events, the latest.
     #[arg(long)]
     last: Option<usize>,
 }
 
-/// Events with times by this machine's clock.
+/// Events of all processes, with times converted to the local clock.
 #[derive(Default)]
-struct TimelineLine {
+struct Timeline {
     events: Vec<Event>,
     uncertainty_ms: u64,
     dropped: u64,
     unreached: Vec<SocketAddr>,
 }
 
-/// Shows the time line; the exit code is 1 if a port could not be reached.
+/// Prints the timeline. The exit code is 1 if a port could not be reached.
 pub fn show(fleet: &FleetArgs, filter: &Filter, output: Output) -> ExitCode {
-    let asker = Asker::default();
-    let mut line = TimelineLine::default();
-    for control in fleet.controls(&asker) {
+    let client = OperatorClient::default();
+    let mut timeline = Timeline::default();
+    for control in fleet.controls(&client) {
         for port in [control.port(), fleet.entry_port, fleet.locate_port] {
-            line.add(&asker, beside(control, port));
+            timeline.fetch(&client, operator_address(control, port));
         }
     }
-    line.events.sort_by(|a, b| (a.at_ms, &a.vm, a.sequence).cmp(&(b.at_ms, &b.vm, b.sequence)));
-    line.events.retain(|event| filter.keeps(event));
-    let first = filter.last.map_or(0, |last| line.events.len().saturating_sub(last));
-    print(&line, &line.events[first..], output);
-    if line.unreached.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    timeline.events.sort_by(|a, b| (a.at_ms, &a.vm, a.sequence).cmp(&(b.at_ms, &b.vm, b.sequence)));
+    timeline.events.retain(|event| filter.matches(event));
+    let first = filter.last.map_or(0, |last| timeline.events.len().saturating_sub(last));
+    print_timeline(&timeline, &timeline.events[first..], output);
+    if timeline.unreached.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-impl TimelineLine {
-    fn add(&mut self, asker: &Asker, port: SocketAddr) {
-        let asked_ms = wall_ms();
-        let Some(page) = asker.json::<EventPage>(port, "/events") else { return self.unreached.push(port) };
-        let told_ms = wall_ms();
-        let middle_ms = asked_ms.midpoint(told_ms);
-        self.uncertainty_ms = self.uncertainty_ms.max((told_ms - asked_ms).div_ceil(2).max(1));
+impl Timeline {
+    fn fetch(&mut self, client: &OperatorClient, port: SocketAddr) {
+        let requested_ms = wall_ms();
+        let Some(page) = client.get_json::<EventPage>(port, "/events") else {
+            return self.unreached.push(port);
+        };
+        let received_ms = wall_ms();
+        let midpoint_ms = requested_ms.midpoint(received_ms);
+        self.uncertainty_ms = self.uncertainty_ms.max((received_ms - requested_ms).div_ceil(2).max(1));
         self.dropped += page.dropped;
-        self.events.extend(
-            page.events.into_iter().map(|event| Event {
-                at_ms: (event.at_ms + middle_ms).saturating_sub(page.clock_ms),
-                ..event
-            }),
-        );
+        self.events.extend(page.events.into_iter().map(|event| Event {
+            at_ms: (event.at_ms + midpoint_ms).saturating_sub(page.clock_ms),
+            ..event
+        }));
     }
 }
 
 impl Filter {
-    fn keeps(&self, event: &Event) -> bool {
+    fn matches(&self, event: &Event) -> bool {
         let kind = self.kind.as_ref().is_none_or(|kind| *kind == event.kind.name());
         let vm = self.vm.as_ref().is_none_or(|vm| vm == event.vm.as_str());
         let upstream = self.upstream.as_ref().is_none_or(|name| event.to_string().contains(name));
@@ -83,19 +84,19 @@
     }
 }
 
-fn print(line: &TimelineLine, events: &[Event], output: Output) {
+fn print_timeline(timeline: &Timeline, events: &[Event], output: Output) {
     match output {
         Output::Json => events.iter().for_each(|event| println!("{}", serde_json::json!(event))),
         Output::Text => {
             let start_ms = events.first().map_or(0, |event| event.at_ms);
-            println!("times in seconds, clocks compared to within {} ms", line.uncertainty_ms);
+            println!("times in seconds, clocks compared to within {} ms", timeline.uncertainty_ms);
             for event in events {
                 println!("{:>9.3} {event}", (event.at_ms - start_ms) as f64 / 1_000.0);
             }
         }
     }
-    if line.dropped > 0 {
-        eprintln!("{} older events are no longer kept", line.dropped);
+    if timeline.dropped > 0 {
+        eprintln!("{} older events are no longer kept", timeline.dropped);
     }
-    line.unreached.iter().for_each(|port| eprintln!("{port}: not reached"));
+    timeline.unreached.iter().for_each(|port| eprintln!("{port}: not reached"));
 }
--- a/crates/pointvane/tests/client.rs
+++ b/crates/pointvane/tests/client.rs
@@ -1,4 +1,4 @@
-//! The operators' client as a command.
+//! Runs the `pointvane` command-line client as a process.
 
 use {
     googletest::prelude::*,
@@ -20,7 +20,7 @@
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
-/// A directory with a file set of this revision.
+/// Creates a directory with a file set of this revision.
 fn file_set(name: &str, revision: &str) -> PathBuf {
     let directory = std::env::temp_dir().join(format!("pointvane-client-{}-{name}", std::process::id()));
     fs::create_dir_all(directory.join("services")).unwrap();
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn a_set_is_packed_and_refused_when_it_is_not_newer() {
+fn pack_writes_a_set_and_refuses_one_that_is_not_newer() {
     let (directory, value) = (file_set("pack", "3"), path(&file_set("pack", "3"), "value.json"));
     let set = path(&directory, "");
     let packed = client(&["pack", &set, "--out", &value]);
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn a_faulty_set_ends_with_code_2_for_people_and_for_scripts() {
+fn check_of_an_invalid_set_exits_with_code_2_in_text_and_json() {
     let directory = file_set("faulty", "\"three\"");
     let set = path(&directory, "");
     let check = client(&["check", &set]);
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn a_check_names_a_stray_file_and_a_key_that_nothing_reads() {
+fn check_reports_stray_files_and_unknown_keys() {
     let directory = file_set("stray", "3\ncolour = 1");
     fs::write(directory.join("services/portal.yaml"), "").unwrap();
     let set = path(&directory, "");
@@ -82,7 +82,7 @@
 }
 
 #[gtest]
-fn what_cannot_be_reached_is_named() {
+fn status_reports_unreachable_addresses() {
     let status = client(&["status", "127.0.0.1:1"]);
     expect_that!(status.status.code(), some(eq(1)));
     expect_that!(text(&status.stdout), contains_substring("127.0.0.1:1: control not reached"));
@@ -94,7 +94,7 @@
 }
 
 #[gtest]
-fn a_request_is_explained_from_the_logs_of_several_processes() {
+fn explain_merges_the_logs_of_several_processes() {
     let line = |ts: &str, vm: &str, rest: &str| {
         format!("{{\"ts\":\"{ts}\",\"vm\":\"{vm}\",\"program\":\"node\",{rest}}}\n")
     };
@@ -130,19 +130,20 @@
 }
 
 #[gtest]
-fn a_refusal_while_no_upstream_may_get_work_is_explained_in_a_sentence() {
+fn explain_says_why_no_upstream_was_available() {
     let directory = std::env::temp_dir().join(format!("pointvane-client-{}-withheld", std::process::id()));
     fs::create_dir_all(&directory).unwrap();
     let refused = r#"{"ts":"2026-01-01T00:00:04Z","vm":"a","program":"node","msg":"request-refused","request":"r-1","error":"upstreams-backing-off","upstreams":6,"backing_off":5,"back_in_ms":1840}"#;
     fs::write(directory.join("a"), refused).unwrap();
     let told = text(&client(&["explain", "r-1", &path(&directory, "a")]).stdout);
-    let sentence = "no upstream may get work: 5 of 6 want no requests, the first for another 1840 ms, 1 get no work for other reasons";
+    let sentence = "no upstream may get work: 5 of 6 backing off, the first for another 1840 ms, 1 unavailable for other reasons";
     expect_that!(told, contains_substring(sentence));
 }
 
-/// Upstreams crash under it: the lines of the crashes have other identities, since its caller sent it anew.
+/// The lines on the crashes have other request ids, since the caller resent the request; the fingerprint
+/// connects them.
 #[gtest]
-fn a_quarantined_request_is_explained_by_the_crashes_under_it() {
+fn explain_shows_the_crashes_behind_a_quarantine() {
     let line = |second: u32, vm: &str, rest: &str| {
         format!("{{\"ts\":\"2026-01-01T00:00:0{second}Z\",\"vm\":\"{vm}\",\"program\":\"node\",{rest}}}\n")
     };
@@ -168,7 +169,8 @@
     expect_that!(told, contains_substring("hold_ms=8000"));
 }
 
-/// An operator port that answers so many requests: `events` as the body of `/events`, 404 for everything else.
+/// Starts an operator port that answers `requests` requests: with `events` for `/events` and 404 for any
+/// other path.
 fn operator_port(events: String, requests: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -195,7 +197,7 @@
 }
 
 #[gtest]
-fn the_time_line_shows_upstream_told_in_the_form_before_and_now() {
+fn timeline_shows_upstream_told_in_the_old_and_new_format() {
     let event = |sequence: u64, rest: &str| {
         format!(r#"{{"sequence":{sequence},"at_ms":{sequence},"vm":"vm-1","program":"node","kind":{rest}}}"#)
     };
@@ -209,7 +211,7 @@
         event(4, r#""watch-renewed","revision":7"#),
     ];
     let page = format!(r#"{{"clock_ms":9,"dropped":0,"events":[{}]}}"#, events.join(","));
-    // `/status` of the control once, then `/events` of each of the three ports, which are the same here.
+    // One request for the control's `/status`, then `/events` of three ports, which are all the same here.
     let address = operator_port(page, 4);
     let (control, port) = (address.to_string(), address.port().to_string());
     let arguments = ["timeline", &control, "--entry-port", &port, "--locate-port", &port, "--output", "json"];
@@ -219,14 +221,14 @@
     let lines = shown.lines().map(|line| serde_json::from_str::<serde_json::Value>(line).unwrap());
     let mut found: Vec<_> =
         lines.map(|line| (line["sequence"].as_u64().unwrap(), line["entry_sequence"].as_u64())).collect();
-    // Each port's clock is compared anew, so that the order among the three copies is open.
+    // The clock offset is measured for each of the three copies, so their order is not determined.
     found.sort();
     found.dedup();
     expect_that!(found, eq(&vec![(1, None), (2, Some(5)), (3, Some(5)), (4, None)]));
 }
 
 #[gtest]
-fn an_upstream_told_line_of_the_form_before_is_explained_as_the_present_one_is() {
+fn explain_shows_upstream_told_lines_in_the_old_and_new_format() {
     let directory = std::env::temp_dir().join(format!("pointvane-client-{}-told", std::process::id()));
     fs::create_dir_all(&directory).unwrap();
     let own =
