--- a/crates/pointvane-telemetry/src/event.rs
+++ b/crates/pointvane-telemetry/src/event.rs
@@ -70,7 +70,7 @@
     PlatformLost,
     /// The platform responds again.
     PlatformBack,
-    /// The platform's revision decreased.
+    /// The platform's write counter decreased, as after a restore from an older copy.
     PlatformWentBack { from: u64, to: u64 },
     /// An upstream is leaving and gets no new requests.
     UpstreamLeaving { service: Name, upstream: Name },
--- a/crates/pointvane/src/status.rs
+++ b/crates/pointvane/src/status.rs
@@ -105,7 +105,8 @@
         (false, None, true) => "ejected".into(),
         (false, None, false) => String::from("in use"),
     };
-    let age =
-        upstream.evidence_age_ms.map_or("no evidence".into(), |age_ms| format!("evidence {age_ms} ms old"));
+    let age = upstream
+        .evidence_age_ms
+        .map_or("never heard from".into(), |age_ms| format!("last heard from {age_ms} ms ago"));
     println!("    {}: {state}, {} own, {:.1} in total, {age}", upstream.name, upstream.own, upstream.total);
 }
