--- a/standins/tests/soak/connection.rs
+++ b/standins/tests/soak/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection, kept until the process behind it is gone.
+//! A caller's persistent connection to one node.
 
 use {
     crate::users_platform::{Message, read_message},
@@ -9,26 +9,27 @@
     },
 };
 
-/// Time for a new connection to come up.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
-/// Longer than any pause of a node and any route's time: a connection is not given up for a node that is slow.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(6);
+/// Timeout of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Exceeds any pause of a node and any route's timeout, so that callers don't close a connection because a
+/// node is slow.
+const READ_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A kept connection to one site.
+/// Persistent connection to one node, given by its index in the fleet.
 pub struct Connection {
-    pub site: usize,
+    pub node_index: usize,
     reader: BufReader<TcpStream>,
 }
 
 impl Connection {
-    pub fn open(site: usize, address: SocketAddr) -> Option<Self> {
-        let stream = TcpStream::connect_timeout(&address, CONNECT_PATIENCE).ok()?;
+    pub fn open(node_index: usize, address: SocketAddr) -> Option<Self> {
+        let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(ANSWER_PATIENCE)).ok()?;
-        Some(Self { site, reader: BufReader::new(stream) })
+        stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
+        Some(Self { node_index, reader: BufReader::new(stream) })
     }
 
-    /// Requests that are sent together; fewer answers when the connection is of no more use.
+    /// Pipelines requests; returns fewer answers than requests if the connection closes or fails.
     pub fn call_all(&mut self, heads: &[String]) -> Vec<Message> {
         if self.reader.get_mut().write_all(heads.concat().as_bytes()).is_err() {
             return Vec::new();
@@ -46,14 +47,14 @@
         answers
     }
 
-    /// One request; none when the connection is of no more use.
+    /// Sends one request; returns none if the connection fails.
     pub fn call(&mut self, head: &str) -> Option<Message> {
         self.reader.get_mut().write_all(head.as_bytes()).ok()?;
         read_message(&mut self.reader).ok()
     }
 }
 
-/// Whether an answer leaves its connection open.
+/// Returns whether the connection stays open after this answer.
 pub fn keeps_open(answer: &Message) -> bool {
     !answer.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
 }
--- a/standins/tests/soak/contact.rs
+++ b/standins/tests/soak/contact.rs
@@ -1,4 +1,4 @@
-//! When a process, a link or the machine was disturbed, and so which bounds hold at a moment.
+//! Records when a process, a link or the machine was faulty, which decides whether timing bounds apply.
 
 use std::{
     sync::{
@@ -9,63 +9,63 @@
     time::{Duration, Instant},
 };
 
-/// Time without any disturbance after which a process is in touch.
-pub const IN_TOUCH_AFTER: Duration = Duration::from_secs(3);
-/// How often the harness looks whether the machine holds it up.
-const LOOK: Duration = Duration::from_millis(50);
-/// Delay of such a look from which on the machine counts as disturbed: no bound is judged on a machine that stalls.
-const STALL: Duration = Duration::from_millis(400);
+/// Time without faults after which a node must meet the bounds again.
+pub const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Interval at which the harness checks for stalls of the machine.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// A check delayed by more than this counts as a stall; bounds aren't checked while the machine stalls.
+const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
 type Spans = Arc<Mutex<Vec<(Instant, Option<Instant>)>>>;
 
-/// The disturbances of one thing.
+/// Fault periods of one component.
 #[derive(Clone, Default)]
-pub struct Contact {
+pub struct FaultHistory {
     spans: Spans,
 }
 
-/// A disturbance under way; it ends when dropped.
-pub struct Disturbance {
+/// Guard of an ongoing fault, which ends when the guard is dropped.
+pub struct ActiveFault {
     spans: Spans,
     index: usize,
 }
 
-impl Contact {
-    pub fn disturb(&self) -> Disturbance {
-        self.disturbed_since(Instant::now())
+impl FaultHistory {
+    pub fn begin_fault(&self) -> ActiveFault {
+        self.begin_fault_at(Instant::now())
     }
 
-    fn disturbed_since(&self, since: Instant) -> Disturbance {
+    fn begin_fault_at(&self, since: Instant) -> ActiveFault {
         let mut spans = self.spans.lock().unwrap();
         spans.push((since, None));
-        Disturbance { spans: Arc::clone(&self.spans), index: spans.len() - 1 }
+        ActiveFault { spans: Arc::clone(&self.spans), index: spans.len() - 1 }
     }
 
-    /// Whether there was no disturbance from `IN_TOUCH_AFTER` before a time until another one.
-    pub fn sound(&self, from: Instant, to: Instant) -> bool {
+    /// Returns whether no fault was active between `SETTLE_TIME` before `from` and `to`.
+    pub fn is_fault_free(&self, from: Instant, to: Instant) -> bool {
         let spans = self.spans.lock().unwrap();
-        !spans
-            .iter()
-            .any(|(begun, ended)| *begun <= to && ended.is_none_or(|ended| ended + IN_TOUCH_AFTER >= from))
+        !spans.iter().any(|(began_at, ended_at)| {
+            *began_at <= to && ended_at.is_none_or(|ended_at| ended_at + SETTLE_TIME >= from)
+        })
     }
 
     pub fn count(&self) -> usize {
         self.spans.lock().unwrap().len()
     }
 
-    /// Notes each stall of the machine until told to stop.
-    pub fn watch_machine(&self, stop: &AtomicBool) {
+    /// Records each stall of the machine until `stop` is set.
+    pub fn record_stalls(&self, stop: &AtomicBool) {
         while !stop.load(Ordering::SeqCst) {
             let slept_at = Instant::now();
-            thread::sleep(LOOK);
-            if slept_at.elapsed() > LOOK + STALL {
-                drop(self.disturbed_since(slept_at));
+            thread::sleep(POLL_INTERVAL);
+            if slept_at.elapsed() > POLL_INTERVAL + STALL_THRESHOLD {
+                drop(self.begin_fault_at(slept_at));
             }
         }
     }
 }
 
-impl Drop for Disturbance {
+impl Drop for ActiveFault {
     fn drop(&mut self) {
         if let Ok(mut spans) = self.spans.lock() {
             spans[self.index].1 = Some(Instant::now());
--- a/standins/tests/soak/directory.rs
+++ b/standins/tests/soak/directory.rs
@@ -1,8 +1,8 @@
-//! The upstreams of a soak: which are listed, and when those that leave were told to.
+//! The upstreams of a soak run: their entries in the store and when they left.
 
 use {
     crate::{
-        contact::Contact,
+        contact::FaultHistory,
         crashing::CRASHING_PATH,
         evacuations::DATA_CENTRES,
         plan::Plan,
@@ -19,112 +19,114 @@
     },
 };
 
-/// One upstream and the way to it.
+/// An upstream, its entry and its link.
 #[derive(Clone)]
-pub struct Listed {
+pub struct ListedUpstream {
     pub upstream: Upstream,
     pub data_centre: &'static str,
-    /// None when it is reached directly.
+    /// Proxy before the upstream; none if it is reached directly.
     pub link: Option<Proxy>,
-    /// Harm to the link.
-    pub contact: Contact,
-    /// When the store had taken that it leaves.
-    pub left: Option<Instant>,
-    /// Start of its life, in Unix milliseconds; none where entries do not tell it.
+    /// Faults of the link and of the upstream's process.
+    pub faults: FaultHistory,
+    /// When the store acknowledged that the upstream leaves.
+    pub left_at: Option<Instant>,
+    /// Start time of its process, in Unix milliseconds; none in runs whose entries don't contain it.
     pub born_ms: Option<u64>,
-    /// When the store had taken the entry of its last life, if it started again.
-    pub restarted: Option<Instant>,
+    /// When the store acknowledged the entry of the last restart, if any.
+    pub restarted_at: Option<Instant>,
 }
 
-/// All upstreams that ever were. Those that left serve on, so that work sent to them shows.
+/// All upstreams of the run. Those that left keep serving, so that requests sent to them are seen.
 pub struct Directory {
     store: Store,
-    proxied: usize,
+    proxied_upstreams: usize,
     data_centres: usize,
     crashes: bool,
     restarts: bool,
-    listed: Mutex<Vec<Listed>>,
+    entries: Mutex<Vec<ListedUpstream>>,
     sequence: AtomicU64,
 }
 
 impl Directory {
     pub fn new(store: Store, plan: &Plan) -> Self {
-        let data_centres = if plan.evacuates { DATA_CENTRES.len() } else { 1 };
+        let data_centres = if plan.evacuations { DATA_CENTRES.len() } else { 1 };
         Self {
             store,
-            proxied: plan.proxied,
+            proxied_upstreams: plan.proxied_upstreams,
             data_centres,
             crashes: plan.crashes,
             restarts: plan.restarts,
-            listed: Mutex::default(),
+            entries: Mutex::default(),
             sequence: AtomicU64::new(0),
         }
     }
 
-    /// A new upstream joins.
+    /// Starts an upstream and adds its entry.
     pub fn join(&self) {
-        let mut listed = self.listed.lock().unwrap();
-        let upstream = Upstream::start(&format!("i-{}", listed.len()), Manner::Well);
+        let mut entries = self.entries.lock().unwrap();
+        let upstream = Upstream::start(&format!("i-{}", entries.len()), Manner::Well);
         if self.crashes {
             upstream.crash_on(CRASHING_PATH);
         }
-        let links = listed.iter().filter(|one| one.link.is_some() && one.left.is_none()).count();
-        let link = (links < self.proxied).then(|| Proxy::start(upstream.address));
-        let data_centre = DATA_CENTRES[listed.len() % self.data_centres];
-        let one = Listed {
+        let links = entries.iter().filter(|entry| entry.link.is_some() && entry.left_at.is_none()).count();
+        let link = (links < self.proxied_upstreams).then(|| Proxy::start(upstream.address));
+        let data_centre = DATA_CENTRES[entries.len() % self.data_centres];
+        let entry = ListedUpstream {
             upstream,
             data_centre,
             link,
-            contact: Contact::default(),
-            left: None,
+            faults: FaultHistory::default(),
+            left_at: None,
             born_ms: self.restarts.then(wall_ms),
-            restarted: None,
+            restarted_at: None,
         };
-        self.list(&one, "ready", self.next_sequence());
-        listed.push(one);
+        self.list(&entry, "ready", self.next_sequence());
+        entries.push(entry);
     }
 
-    /// An upstream leaves: its entry says so, or goes. False when it had left before.
-    pub fn leave(&self, index: usize, says_so: bool) -> bool {
-        let mut listed = self.listed.lock().unwrap();
-        let one = &mut listed[index];
-        if one.left.is_some() {
+    /// Makes an upstream leave by marking its entry as draining, or by removing the entry. Returns false if
+    /// it had left before.
+    pub fn leave(&self, index: usize, as_draining: bool) -> bool {
+        let mut entries = self.entries.lock().unwrap();
+        let entry = &mut entries[index];
+        if entry.left_at.is_some() {
             return false;
         }
-        if says_so {
-            self.list(one, "draining", self.next_sequence());
+        if as_draining {
+            self.list(entry, "draining", self.next_sequence());
         } else {
-            self.store.remove(&format!("servers/{}", one.upstream.id));
+            self.store.remove(&format!("servers/{}", entry.upstream.id));
         }
-        one.left = Some(Instant::now());
+        entry.left_at = Some(Instant::now());
         true
     }
 
-    /// Indices of those that have not left.
-    pub fn staying(&self) -> Vec<usize> {
-        let listed = self.listed.lock().unwrap();
-        (0..listed.len()).filter(|index| listed[*index].left.is_none()).collect()
+    /// Returns the indices of upstreams that have not left.
+    pub fn remaining(&self) -> Vec<usize> {
+        let entries = self.entries.lock().unwrap();
+        (0..entries.len()).filter(|index| entries[*index].left_at.is_none()).collect()
     }
 
-    pub fn all(&self) -> Vec<Listed> {
-        self.listed.lock().unwrap().clone()
+    pub fn all(&self) -> Vec<ListedUpstream> {
+        self.entries.lock().unwrap().clone()
     }
 
-    /// Whether upstreams start again under their identities.
+    /// Returns whether upstreams restart under their identities in this run.
     pub fn restarts(&self) -> bool {
         self.restarts
     }
 
-    /// The entry of a later life of an upstream, whose count of updates begins anew. False when it has left.
-    pub fn list_again(&self, index: usize) -> bool {
-        let mut listed = self.listed.lock().unwrap();
-        let one = &mut listed[index];
-        if one.left.is_some() {
+    /// Writes the entry of a restarted upstream, whose update sequence begins at 1 again. Returns false if it
+    /// has left.
+    pub fn list_restarted(&self, index: usize) -> bool {
+        let mut entries = self.entries.lock().unwrap();
+        let entry = &mut entries[index];
+        if entry.left_at.is_some() {
             return false;
         }
-        one.born_ms = Some(wall_ms());
-        self.list(one, "ready", 1);
-        one.restarted = Some(Instant::now());
+        entry.born_ms = Some(wall_ms());
+        self.list(entry, "ready", 1);
+        entry.restarted_at = Some(Instant::now());
         true
     }
 
@@ -132,9 +134,9 @@
         self.sequence.fetch_add(1, Ordering::SeqCst) + 1
     }
 
-    fn list(&self, one: &Listed, state: &str, sequence: u64) {
-        let address = one.link.as_ref().map_or(one.upstream.address, |link| link.address);
-        let life = Life { sequence, born_ms: one.born_ms };
-        self.store.list_life(&one.upstream, address, one.data_centre, state, &life);
+    fn list(&self, entry: &ListedUpstream, state: &str, sequence: u64) {
+        let address = entry.link.as_ref().map_or(entry.upstream.address, |link| link.address);
+        let life = Life { sequence, born_ms: entry.born_ms };
+        self.store.list_life(&entry.upstream, address, entry.data_centre, state, &life);
     }
 }
--- a/standins/tests/soak/disturbances.rs
+++ b/standins/tests/soak/disturbances.rs
@@ -1,18 +1,18 @@
-//! Single disturbances, drawn one after another.
+//! Single faults, drawn at random one after another.
 
 use {
     crate::{
         fleet::Fleet,
         peer_proxy::PeerLink,
         proxy::Link,
-        site::Site,
+        site::Node,
         users_platform::{Manner, Upstream},
     },
     rand::{Rng, rngs::SmallRng, seq::IndexedRandom},
     std::{thread, time::Duration},
 };
 
-/// Ways in which an upstream misbehaves.
+/// Misbehaviours of upstreams.
 pub const MANNERS: [Manner; 9] = [
     Manner::LoseAnswer,
     Manner::OtherId,
@@ -24,39 +24,40 @@
     Manner::Silent,
     Manner::ForgetIdle,
 ];
-const LINKS: [Link; 4] = [Link::Slow, Link::LostThere, Link::LostBack, Link::Broken];
-/// Delay of messages between nodes. Below the 200 ms that a node waits for the first byte of a peer's answer, there and back.
+const LINKS: [Link; 4] = [Link::Slow, Link::LostToServer, Link::LostToClient, Link::Broken];
+/// Delay of messages between nodes. A round trip stays below the 200 ms that a node waits for the first byte
+/// of a peer's answer.
 const PEER_DELAY: Duration = Duration::from_millis(60);
 const PEER_LINKS: [PeerLink; 5] =
     [PeerLink::Slow(PEER_DELAY), PeerLink::Silent, PeerLink::LostIn, PeerLink::LostOut, PeerLink::Reset];
-/// How long a disturbance lasts, in milliseconds.
-const LASTS_MS: std::ops::Range<u64> = 200..1_500;
-/// Longest rest between two disturbances, in milliseconds.
-const REST_MS: u64 = 300;
+/// Duration of a fault, in milliseconds.
+const DURATION_MS: std::ops::Range<u64> = 200..1_500;
+/// Longest pause between two faults, in milliseconds.
+const INTERVAL_MAX_MS: u64 = 300;
 
-/// Disturbs one thing after another.
-pub fn play(fleet: &Fleet, rng: &mut SmallRng, count: usize) {
+/// Injects `count` faults one after another.
+pub fn run(fleet: &Fleet, rng: &mut SmallRng, count: usize) {
     for _ in 0..count {
-        disturb(fleet, rng);
-        thread::sleep(Duration::from_millis(rng.random_range(0..REST_MS)));
+        inject_fault(fleet, rng);
+        thread::sleep(Duration::from_millis(rng.random_range(0..INTERVAL_MAX_MS)));
     }
 }
 
-/// Does one thing to the fleet, and undoes it after a while.
-fn disturb(fleet: &Fleet, rng: &mut SmallRng) {
-    let site = fleet.sites.choose(rng).unwrap();
-    let time = Duration::from_millis(rng.random_range(LASTS_MS));
+/// Injects one fault and reverts it after a while.
+fn inject_fault(fleet: &Fleet, rng: &mut SmallRng) {
+    let node = fleet.nodes.choose(rng).unwrap();
+    let time = Duration::from_millis(rng.random_range(DURATION_MS));
     match rng.random_range(0..14) {
-        0 => pause(fleet, site, time),
-        1 => restart(fleet, site, "KILL", time / 4),
-        2 => restart(fleet, site, "TERM", time / 4),
-        3 => restart_while_paused(fleet, site, time),
-        4 | 5 => cut(fleet, std::slice::from_ref(site), *LINKS.choose(rng).unwrap(), time),
-        6 => cut(fleet, &fleet.sites, *LINKS.choose(rng).unwrap(), time),
-        7 | 8 => spoil_upstream(fleet, rng, time),
-        9 => replace(fleet, rng),
-        12 => silence(fleet, site, rng),
-        10 | 11 => cut_peers(fleet, site, *PEER_LINKS.choose(rng).unwrap(), time),
+        0 => pause_node(fleet, node, time),
+        1 => restart(fleet, node, "KILL", time / 4),
+        2 => restart(fleet, node, "TERM", time / 4),
+        3 => restart_while_paused(fleet, node, time),
+        4 | 5 => impair_store_links(fleet, std::slice::from_ref(node), *LINKS.choose(rng).unwrap(), time),
+        6 => impair_store_links(fleet, &fleet.nodes, *LINKS.choose(rng).unwrap(), time),
+        7 | 8 => disrupt_upstream(fleet, rng, time),
+        9 => replace_upstream(fleet, rng),
+        12 => silence_connections(fleet, node, rng),
+        10 | 11 => impair_peer_link(fleet, node, *PEER_LINKS.choose(rng).unwrap(), time),
         _ => {
             fleet.count("configure");
             fleet.versions.publish();
@@ -64,71 +65,72 @@
     }
 }
 
-fn pause(fleet: &Fleet, site: &Site, time: Duration) {
+fn pause_node(fleet: &Fleet, node: &Node, time: Duration) {
     fleet.count("pause");
-    site.pause(time);
+    node.pause(time);
 }
 
-pub fn restart(fleet: &Fleet, site: &Site, signal: &'static str, rest: Duration) {
-    if site.restart(signal, rest, &fleet.seeds()) {
+pub fn restart(fleet: &Fleet, node: &Node, signal: &'static str, downtime: Duration) {
+    if node.restart(signal, downtime, &fleet.seeds()) {
         fleet.count(signal);
     }
 }
 
-/// A planned stop that begins while the process is paused.
-fn restart_while_paused(fleet: &Fleet, site: &Site, time: Duration) {
+/// Sends SIGTERM to a process that is paused.
+fn restart_while_paused(fleet: &Fleet, node: &Node, time: Duration) {
     thread::scope(|scope| {
-        scope.spawn(|| pause(fleet, site, time));
+        scope.spawn(|| pause_node(fleet, node, time));
         thread::sleep(time / 2);
-        restart(fleet, site, "TERM", Duration::ZERO);
+        restart(fleet, node, "TERM", Duration::ZERO);
     });
 }
 
-fn cut(fleet: &Fleet, sites: &[Site], link: Link, time: Duration) {
-    fleet.count(if sites.len() == 1 { "cut" } else { "cut all" });
-    let cuts: Vec<_> = sites.iter().map(|site| site.cut(link)).collect();
+fn impair_store_links(fleet: &Fleet, nodes: &[Node], link: Link, time: Duration) {
+    fleet.count(if nodes.len() == 1 { "cut" } else { "cut all" });
+    let faults: Vec<_> = nodes.iter().map(|node| node.impair_store_link(link)).collect();
     thread::sleep(time);
-    sites.iter().zip(cuts).for_each(|(site, cut)| site.mend(cut));
+    nodes.iter().zip(faults).for_each(|(node, fault)| node.restore_store_link(fault));
 }
 
-/// Open connections go silent for good while new ones work: to the store, or to an upstream.
-fn silence(fleet: &Fleet, site: &Site, rng: &mut SmallRng) {
+/// Silences the open connections to the store or to an upstream permanently; new ones work.
+fn silence_connections(fleet: &Fleet, node: &Node, rng: &mut SmallRng) {
     fleet.count("silence");
-    let listed = fleet.upstreams();
-    match listed.choose(rng).and_then(|one| one.link.as_ref().map(|link| (one, link))) {
-        Some((one, link)) if rng.random_bool(0.5) => {
-            let _harmed = one.contact.disturb();
+    let upstreams = fleet.upstreams();
+    match upstreams.choose(rng).and_then(|listed| listed.link.as_ref().map(|link| (listed, link))) {
+        Some((listed, link)) if rng.random_bool(0.5) => {
+            let _fault = listed.faults.begin_fault();
             link.silence_open();
         }
-        _ => site.silence_store(),
+        _ => node.silence_store(),
     }
 }
 
-fn cut_peers(fleet: &Fleet, site: &Site, link: PeerLink, time: Duration) {
-    if site.cut_peers(link, time) {
+fn impair_peer_link(fleet: &Fleet, node: &Node, link: PeerLink, time: Duration) {
+    if node.impair_peer_link(link, time) {
         fleet.count("cut peers");
     }
 }
 
-fn spoil_upstream(fleet: &Fleet, rng: &mut SmallRng, time: Duration) {
-    let listed = fleet.upstreams();
-    let one = listed.choose(rng).unwrap();
-    match &one.link {
+fn disrupt_upstream(fleet: &Fleet, rng: &mut SmallRng, time: Duration) {
+    let upstreams = fleet.upstreams();
+    let listed = upstreams.choose(rng).unwrap();
+    match &listed.link {
         Some(link) if rng.random_bool(0.5) => {
             fleet.count("harm link");
-            let _harmed = one.contact.disturb();
+            let _fault = listed.faults.begin_fault();
             link.set(*LINKS.choose(rng).unwrap());
             thread::sleep(time);
             link.set(Link::Sound);
         }
         _ => {
             fleet.count("spoil");
-            misbehave_for(&one.upstream, *MANNERS.choose(rng).unwrap(), time);
+            misbehave_for(&listed.upstream, *MANNERS.choose(rng).unwrap(), time);
         }
     }
 }
 
-/// Has an upstream misbehave, unless it names a limit: that has to last.
+/// Makes an upstream misbehave for a time. Upstreams that announce a limit are left alone: the limit has to
+/// last.
 pub fn misbehave_for(upstream: &Upstream, manner: Manner, time: Duration) {
     if upstream.names_limit() {
         return;
@@ -140,12 +142,12 @@
     }
 }
 
-/// An upstream joins, and another one leaves.
-fn replace(fleet: &Fleet, rng: &mut SmallRng) {
+/// Adds an upstream and makes another one leave.
+fn replace_upstream(fleet: &Fleet, rng: &mut SmallRng) {
     fleet.count("replace");
-    let staying = fleet.directory.staying();
+    let remaining = fleet.directory.remaining();
     fleet.directory.join();
-    if let Some(index) = staying.choose(rng) {
+    if let Some(index) = remaining.choose(rng) {
         fleet.directory.leave(*index, rng.random_bool(0.5));
     }
 }
--- a/standins/tests/soak/fleet.rs
+++ b/standins/tests/soak/fleet.rs
@@ -1,33 +1,33 @@
-//! The nodes, the store and the upstreams of a soak.
+//! The nodes, the store and the upstreams of a soak run.
 
 use {
     crate::{
-        contact::Contact,
-        directory::{Directory, Listed},
-        evacuations::Evacuated,
+        contact::FaultHistory,
+        directory::{Directory, ListedUpstream},
+        evacuations::Evacuation,
         plan::Plan,
         proxy::Link,
-        site::Site,
+        site::Node,
         users_platform::Store,
         versions::Versions,
     },
     std::{collections::BTreeMap, env, fs, net::Ipv4Addr, path::PathBuf, sync::Mutex, thread},
 };
 
-/// Nodes that are started at once.
+/// Nodes that are started concurrently.
 const STARTS_AT_ONCE: usize = 8;
 
-/// All that a soak disturbs.
+/// Everything that a run injects faults into.
 ///
-/// What other nodes send to the first [`Plan::peer_proxied`] nodes passes a proxy of theirs.
+/// Messages of other nodes reach the first [`Plan::proxied_nodes`] nodes through a proxy.
 pub struct Fleet {
-    pub sites: Vec<Site>,
+    pub nodes: Vec<Node>,
     pub versions: Versions,
     pub directory: Directory,
-    /// Stalls of the machine itself.
-    pub machine: Contact,
-    /// Evacuations that are over.
-    pub evacuated: Mutex<Vec<Evacuated>>,
+    /// Stalls of the machine that the tests run on.
+    pub machine_stalls: FaultHistory,
+    /// Evacuations that have been cancelled.
+    pub completed_evacuations: Mutex<Vec<Evacuation>>,
     pub store: Store,
     counts: Mutex<BTreeMap<&'static str, usize>>,
 }
@@ -36,40 +36,40 @@
     pub fn start(plan: &Plan) -> Self {
         let store = Store::start();
         let fleet = Self {
-            sites: (0..plan.nodes).map(|node| Self::site(node, plan, &store)).collect(),
-            versions: Versions::new(store.clone(), plan.bulk_routes),
+            nodes: (0..plan.nodes).map(|index| Self::new_node(index, plan, &store)).collect(),
+            versions: Versions::new(store.clone(), plan.extra_routes),
             directory: Directory::new(store.clone(), plan),
-            machine: Contact::default(),
-            evacuated: Mutex::default(),
+            machine_stalls: FaultHistory::default(),
+            completed_evacuations: Mutex::default(),
             counts: Mutex::default(),
             store,
         };
         (0..plan.upstreams).for_each(|_| fleet.directory.join());
         fleet.versions.publish();
-        for sites in fleet.sites.chunks(STARTS_AT_ONCE) {
-            thread::scope(|scope| sites.iter().for_each(|site| _ = scope.spawn(|| fleet.boot(site))));
+        for nodes in fleet.nodes.chunks(STARTS_AT_ONCE) {
+            thread::scope(|scope| nodes.iter().for_each(|node| _ = scope.spawn(|| fleet.boot(node))));
         }
-        fleet.sites.iter().for_each(Site::until_ready);
+        fleet.nodes.iter().for_each(Node::until_ready);
         fleet
     }
 
-    /// Where configurations are large every other node has a thin link to the store.
-    fn site(node: usize, plan: &Plan, store: &Store) -> Site {
-        let thin = plan.bulk_routes > 0 && node.is_multiple_of(2);
+    /// With a large configuration, every other node has a thin link to the store.
+    fn new_node(index: usize, plan: &Plan, store: &Store) -> Node {
+        let thin = plan.extra_routes > 0 && index.is_multiple_of(2);
         let link = if thin { Link::Thin } else { Link::Sound };
-        Site::new(store.address, link, node < plan.peer_proxied)
+        Node::new(store.address, link, index < plan.proxied_nodes)
     }
 
-    /// Addresses by which a node finds the others.
+    /// Returns the addresses of all nodes, which a node uses to join the mesh.
     pub fn seeds(&self) -> Vec<Ipv4Addr> {
-        self.sites.iter().map(|site| site.ip).collect()
+        self.nodes.iter().map(|node| node.ip).collect()
     }
 
-    fn boot(&self, site: &Site) {
-        site.boot(&self.seeds());
+    fn boot(&self, node: &Node) {
+        node.boot(&self.seeds());
     }
 
-    /// Counts a disturbance by its name.
+    /// Counts a fault by its name.
     pub fn count(&self, name: &'static str) {
         *self.counts.lock().unwrap().entry(name).or_default() += 1;
     }
@@ -78,23 +78,23 @@
         self.counts.lock().unwrap().clone()
     }
 
-    /// All upstreams that ever were.
-    pub fn upstreams(&self) -> Vec<Listed> {
+    /// Returns all upstreams of the run, including those that left.
+    pub fn upstreams(&self) -> Vec<ListedUpstream> {
         self.directory.all()
     }
 
-    /// Keeps the nodes' lines for whoever reads why a promise broke; gives the folder.
+    /// Copies the nodes' logs to a temporary folder for diagnosis; returns the folder.
     pub fn keep_logs(&self, seed: u64) -> PathBuf {
         let folder = env::temp_dir().join(format!("pointvane-soak-{}-{seed}", std::process::id()));
         _ = fs::create_dir_all(&folder);
-        self.sites.iter().for_each(|site| site.keep_logs(&folder));
+        self.nodes.iter().for_each(|node| node.keep_logs(&folder));
         folder
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // The store's threads outlive the run; what it holds need not.
+        // The store's threads outlive the run; its data is released here.
         self.store.clear();
     }
 }
--- a/standins/tests/soak/peer_proxy.rs
+++ b/standins/tests/soak/peer_proxy.rs
@@ -1,7 +1,8 @@
-//! A proxy before a node that passes, delays, loses or resets what other nodes send to it.
+//! A proxy before a node that forwards, delays, drops or resets the messages of other nodes.
 //!
-//! The node advertises the proxy's address and listens at another one. What it sends of its own accord goes straight to the proxies
-//! of the others; only its answers to what came through its proxy go back through it. A full cut takes the proxies of both sides.
+//! The node advertises the proxy's address and listens at another one. Messages that it initiates go directly
+//! to the proxies of other nodes; only its answers to messages received through its own proxy return through
+//! that. To cut all traffic, impair the proxies of both sides.
 #![allow(dead_code)]
 
 use std::{
@@ -23,31 +24,31 @@
 pub const GOSSIP_PORT: u16 = 7_660;
 /// Port for relays.
 pub const RELAY_PORT: u16 = 7_661;
-/// Port for news of quarantined requests.
+/// Port for reports of quarantined requests.
 pub const QUARANTINE_PORT: u16 = 7_662;
-/// Time between two looks at the link while nothing comes. Not measured.
-const LOOK: Duration = Duration::from_millis(50);
-/// Time for a connection to a listener on loopback. Not measured.
+/// Read timeout, after which an idle reader checks the link state and whether the proxy has stopped.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of a connection attempt to a listener on loopback.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of the longest datagram.
+/// Size of the largest datagram, in bytes.
 const DATAGRAM_BYTES: usize = 65_536;
-/// Bytes of a connection that are passed at once. Not measured.
-const PIECE_BYTES: usize = 65_536;
+/// Size of the read buffer of a connection, in bytes.
+const READ_BUFFER_BYTES: usize = 65_536;
 
-/// What becomes of datagrams and of the bytes of connections.
+/// How the proxy treats datagrams and the bytes of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerLink {
-    /// They pass.
+    /// Forwards everything.
     Sound,
-    /// They pass later: datagrams by the delay, connections by the delay for each piece.
+    /// Delays each datagram, and each chunk read from a connection, by this time.
     Slow(Duration),
-    /// They are lost. Connections come up all the same: the kernel accepts them.
+    /// Drops everything. Connections are still established, since the kernel accepts them.
     Silent,
-    /// What comes to the node is lost.
+    /// Drops what is sent to the node.
     LostIn,
-    /// The node's answers are lost.
+    /// Drops the node's answers.
     LostOut,
-    /// Connections are reset, datagrams are lost.
+    /// Resets connections and drops datagrams.
     Reset,
 }
 
@@ -58,7 +59,7 @@
 }
 
 impl PeerLink {
-    fn loses(self, direction: Direction) -> bool {
+    fn drops(self, direction: Direction) -> bool {
         match self {
             Self::Sound | Self::Slow(_) => false,
             Self::Silent | Self::Reset => true,
@@ -72,7 +73,7 @@
     }
 }
 
-/// What all threads of a proxy share.
+/// State shared by the threads of a proxy.
 struct Shared {
     link: Mutex<PeerLink>,
     stopped: AtomicBool,
@@ -100,7 +101,7 @@
 }
 
 impl PeerProxy {
-    pub fn start(advertised: Ipv4Addr, bound: Ipv4Addr) -> Self {
+    pub fn start(advertised: Ipv4Addr, bind_ip: Ipv4Addr) -> Self {
         let shared = Arc::new(Shared {
             link: Mutex::new(PeerLink::Sound),
             stopped: AtomicBool::default(),
@@ -109,20 +110,20 @@
         for port in [GOSSIP_PORT, RELAY_PORT, QUARANTINE_PORT] {
             let outer = Arc::new(datagram_socket((advertised, port).into()).unwrap());
             let shared = Arc::clone(&shared);
-            thread::spawn(move || pass_datagrams(&outer, (bound, port).into(), &shared));
+            thread::spawn(move || forward_datagrams(&outer, (bind_ip, port).into(), &shared));
         }
         let listener = TcpListener::bind((advertised, GOSSIP_PORT)).unwrap();
         let accepting = Arc::clone(&shared);
-        thread::spawn(move || accept(&listener, (bound, GOSSIP_PORT).into(), &accepting));
+        thread::spawn(move || accept(&listener, (bind_ip, GOSSIP_PORT).into(), &accepting));
         Self { advertised, shared }
     }
 
-    /// What becomes of what is received from now on.
+    /// Sets how data received from now on is treated.
     pub fn set(&self, link: PeerLink) {
         *self.shared.link.lock().unwrap() = link;
     }
 
-    /// Datagrams and pieces of connections that were lost so far.
+    /// Returns the number of datagrams and connection chunks dropped so far.
     pub fn lost(&self) -> u64 {
         self.shared.lost.load(Ordering::SeqCst)
     }
@@ -131,18 +132,18 @@
 impl Drop for PeerProxy {
     fn drop(&mut self) {
         self.shared.stopped.store(true, Ordering::SeqCst);
-        // The thread that accepts looks at this after each connection.
+        // The accepting thread checks `stopped` after each connection.
         _ = TcpStream::connect_timeout(&(self.advertised, GOSSIP_PORT).into(), CONNECT_TIMEOUT);
     }
 }
 
 fn datagram_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = UdpSocket::bind(address)?;
-    socket.set_read_timeout(Some(LOOK))?;
+    socket.set_read_timeout(Some(POLL_INTERVAL))?;
     Ok(socket)
 }
 
-/// A datagram on its way.
+/// A datagram waiting to be sent.
 struct Datagram {
     bytes: Vec<u8>,
     through: Arc<UdpSocket>,
@@ -150,11 +151,11 @@
     due: Instant,
 }
 
-/// Sends datagrams when they are due, in the order in which they came.
+/// Sends datagrams when they are due, in order of arrival.
 fn send_when_due(datagrams: &Receiver<Datagram>) {
     for datagram in datagrams {
         thread::sleep(datagram.due.saturating_duration_since(Instant::now()));
-        // One that cannot be sent is lost, as datagrams may be.
+        // A failed send counts as datagram loss.
         _ = datagram.through.send_to(&datagram.bytes, datagram.to);
     }
 }
@@ -165,8 +166,9 @@
     sender
 }
 
-/// Passes what comes to one port of the node; each sender has a socket of its own, by which the node's answers find back.
-fn pass_datagrams(outer: &Arc<UdpSocket>, node: SocketAddr, shared: &Arc<Shared>) {
+/// Forwards datagrams to one port of the node. Each sender gets its own socket, through which the node's
+/// answers return to it.
+fn forward_datagrams(outer: &Arc<UdpSocket>, node: SocketAddr, shared: &Arc<Shared>) {
     let queue = start_sending();
     let mut inner_sockets: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
     receive(outer, Direction::In, shared, |from, bytes, due| {
@@ -178,12 +180,12 @@
                 inner
             }
         };
-        // The queue ends after this thread.
+        // The receiver lives longer than this thread.
         _ = queue.send(Datagram { bytes, through, to: node, due });
     });
 }
 
-/// A socket for one sender, whose datagrams go back to it.
+/// Creates the socket for one sender and forwards what it receives back to that sender.
 fn inner_socket(
     outer: &Arc<UdpSocket>,
     sender: SocketAddr,
@@ -200,22 +202,23 @@
     Ok(inner)
 }
 
-/// Receives datagrams until the proxy stops, and hands on those that are not lost, with the time when they are due.
+/// Receives datagrams until the proxy stops, and passes those that are not dropped to `handle` with their due
+/// time.
 fn receive(
     socket: &UdpSocket,
     direction: Direction,
     shared: &Shared,
-    mut take: impl FnMut(SocketAddr, Vec<u8>, Instant),
+    mut handle: impl FnMut(SocketAddr, Vec<u8>, Instant),
 ) {
     let mut buffer = vec![0; DATAGRAM_BYTES];
     while !shared.is_stopped() {
-        // Nothing came, or an earlier datagram could not be delivered.
+        // Timeout, or an ICMP error for an earlier datagram.
         let Ok((length, from)) = socket.recv_from(&mut buffer) else { continue };
         let link = shared.link();
-        if link.loses(direction) {
+        if link.drops(direction) {
             shared.count_lost();
         } else {
-            take(from, buffer[..length].to_vec(), Instant::now() + link.delay());
+            handle(from, buffer[..length].to_vec(), Instant::now() + link.delay());
         }
     }
 }
@@ -226,13 +229,13 @@
             return;
         }
         let shared = Arc::clone(shared);
-        // A connection that breaks is for its two ends to notice.
-        thread::spawn(move || _ = join(client, node, &shared));
+        // Errors are ignored: both ends notice that the connection has closed.
+        thread::spawn(move || _ = bridge(client, node, &shared));
     }
 }
 
-/// Joins another node's connection to one to the node.
-fn join(client: TcpStream, node: SocketAddr, shared: &Arc<Shared>) -> io::Result<()> {
+/// Connects another node's connection to the node.
+fn bridge(client: TcpStream, node: SocketAddr, shared: &Arc<Shared>) -> io::Result<()> {
     if shared.link() == PeerLink::Reset {
         return reset_at_close(&client);
     }
@@ -241,24 +244,24 @@
     };
     for stream in [&client, &server] {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(LOOK))?;
+        stream.set_read_timeout(Some(POLL_INTERVAL))?;
     }
     // Both directions share the two descriptors.
     let (client, server) = (Arc::new(client), Arc::new(server));
-    let (from, to, back) = (Arc::clone(&server), Arc::clone(&client), Arc::clone(shared));
-    thread::spawn(move || pass_bytes(&from, &to, Direction::Out, &back));
-    pass_bytes(&client, &server, Direction::In, shared);
+    let (from, to, outbound_shared) = (Arc::clone(&server), Arc::clone(&client), Arc::clone(shared));
+    thread::spawn(move || forward_bytes(&from, &to, Direction::Out, &outbound_shared));
+    forward_bytes(&client, &server, Direction::In, shared);
     Ok(())
 }
 
-/// Makes the close of a stream a reset.
+/// Makes closing the stream send a reset.
 fn reset_at_close(stream: &TcpStream) -> io::Result<()> {
     SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
-/// Passes bytes one way until they end, or until the link or the proxy ends the connection.
-fn pass_bytes(mut from: &TcpStream, mut to: &TcpStream, direction: Direction, shared: &Shared) {
-    let mut buffer = vec![0; PIECE_BYTES];
+/// Forwards bytes in one direction until the stream ends, or until the link state or the proxy ends it.
+fn forward_bytes(mut from: &TcpStream, mut to: &TcpStream, direction: Direction, shared: &Shared) {
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     let mut lost = false;
     loop {
         let read = from.read(&mut buffer);
@@ -279,8 +282,9 @@
                 return;
             }
         };
-        // What follows lost bytes must not pass, the end included: a stream has no holes.
-        lost |= link.loses(direction);
+        // Once bytes are dropped, nothing after them may pass, the end of the stream included: TCP data has
+        // no gaps.
+        lost |= link.drops(direction);
         if lost {
             shared.count_lost();
         } else {
--- a/standins/tests/soak/proxy.rs
+++ b/standins/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy that passes, delays, silences or resets the connections through it.
+//! A TCP proxy that forwards, delays, silences or resets the connections through it.
 
 use std::{
     io::{self, Read, Write},
@@ -13,41 +13,41 @@
 
 use crate::users_platform::own_address;
 
-/// What becomes of bytes.
+/// How the proxy treats the bytes of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
-    /// They pass.
+    /// Forwards everything.
     Sound,
-    /// They pass later.
+    /// Delays each chunk read by [`DELAY`].
     Slow,
-    /// They pass at the rate of a thin link.
+    /// Forwards at the rate of a thin link.
     Thin,
-    /// Those towards the server are lost, and those behind them.
-    LostThere,
-    /// Those towards the client are lost, and those behind them.
-    LostBack,
-    /// Connections break.
+    /// Drops bytes to the server, and everything after them.
+    LostToServer,
+    /// Drops bytes to the client, and everything after them.
+    LostToClient,
+    /// Closes connections.
     Broken,
 }
 
 const DELAY: Duration = Duration::from_millis(120);
-/// What a thin link carries, in bytes a second: 10 Mbit/s.
+/// Rate of a thin link, in bytes per second: 10 Mbit/s.
 const THIN_BYTES_PER_S: f64 = 1_250_000.0;
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A proxy before a server.
 #[derive(Clone)]
 pub struct Proxy {
     pub address: SocketAddr,
     link: Arc<Mutex<Link>>,
-    /// How often open connections were silenced.
+    /// Number of calls of [`Proxy::silence_open`].
     silences: Arc<AtomicU64>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
-    There,
-    Back,
+    ToServer,
+    ToClient,
 }
 
 impl Proxy {
@@ -61,14 +61,15 @@
         let accepting = proxy.clone();
         thread::spawn(move || {
             for client in listener.incoming().flatten() {
-                let way = Way::new(&accepting);
-                thread::spawn(move || _ = join(client, server, &way));
+                let connection = ConnectionLink::new(&accepting);
+                thread::spawn(move || _ = bridge(client, server, &connection));
             }
         });
         proxy
     }
 
-    /// Connections that are open pass nothing more, for good, and nobody is told; new ones do as the link says.
+    /// Makes open connections drop all data permanently without closing them; new connections follow the link
+    /// state.
     pub fn silence_open(&self) {
         self.silences.fetch_add(1, Ordering::SeqCst);
     }
@@ -78,16 +79,16 @@
     }
 }
 
-/// What a connection's bytes pass.
+/// The link state of one connection.
 #[derive(Clone)]
-struct Way {
+struct ConnectionLink {
     link: Arc<Mutex<Link>>,
     silences: Arc<AtomicU64>,
-    /// Silences before the connection was opened.
+    /// Value of `silences` when the connection was opened.
     silences_before: u64,
 }
 
-impl Way {
+impl ConnectionLink {
     fn new(proxy: &Proxy) -> Self {
         let silences_before = proxy.silences.load(Ordering::SeqCst);
         Self { link: Arc::clone(&proxy.link), silences: Arc::clone(&proxy.silences), silences_before }
@@ -98,26 +99,26 @@
     }
 }
 
-fn join(client: TcpStream, server: SocketAddr, way: &Way) -> io::Result<()> {
+fn bridge(client: TcpStream, server: SocketAddr, connection: &ConnectionLink) -> io::Result<()> {
     let server = TcpStream::connect(server)?;
     client.set_nodelay(true)?;
     server.set_nodelay(true)?;
     // Both directions share the two descriptors.
     let (client, server) = (Arc::new(client), Arc::new(server));
-    let (from, to, back) = (Arc::clone(&server), Arc::clone(&client), way.clone());
-    thread::spawn(move || pass(&from, &to, &back, Direction::Back));
-    pass(&client, &server, way, Direction::There);
+    let (from, to, back) = (Arc::clone(&server), Arc::clone(&client), connection.clone());
+    thread::spawn(move || forward(&from, &to, &back, Direction::ToClient));
+    forward(&client, &server, connection, Direction::ToServer);
     Ok(())
 }
 
-/// Passes bytes one way until either side ends or the link breaks.
-fn pass(mut from: &TcpStream, mut to: &TcpStream, way: &Way, direction: Direction) {
-    _ = from.set_read_timeout(Some(LOOK));
+/// Forwards bytes in one direction until either side closes or the link breaks.
+fn forward(mut from: &TcpStream, mut to: &TcpStream, connection: &ConnectionLink, direction: Direction) {
+    _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let mut buffer = [0; 4_096];
     let mut lost = false;
     loop {
-        let now = *way.link.lock().unwrap();
-        if now == Link::Broken {
+        let link = *connection.link.lock().unwrap();
+        if link == Link::Broken {
             break;
         }
         let length = match from.read(&mut buffer) {
@@ -128,13 +129,13 @@
             }
             Err(_) => break,
         };
-        // Bytes behind lost ones must not pass: a stream has no holes.
-        lost |= way.is_silent();
+        // Once bytes are dropped, nothing after them may pass: TCP data has no gaps.
+        lost |= connection.is_silent();
         lost |= matches!(
-            (now, direction),
-            (Link::LostThere, Direction::There) | (Link::LostBack, Direction::Back)
+            (link, direction),
+            (Link::LostToServer, Direction::ToServer) | (Link::LostToClient, Direction::ToClient)
         );
-        match now {
+        match link {
             Link::Slow => thread::sleep(DELAY),
             Link::Thin => thread::sleep(Duration::from_secs_f64(length as f64 / THIN_BYTES_PER_S)),
             _ => {}
--- a/standins/tests/soak/record.rs
+++ b/standins/tests/soak/record.rs
@@ -1,8 +1,8 @@
-//! What callers and upstreams saw, and the promises that it is checked against.
+//! What callers and upstreams observed, and the guarantees that it is checked against.
 
 use {
     crate::{
-        shown::Shown,
+        shown::VersionChecks,
         users_platform::{Message, STAMP, Upstream},
     },
     std::{
@@ -11,67 +11,71 @@
     },
 };
 
-/// A broken promise, in words.
-pub type Broken = String;
+/// Description of a violated guarantee.
+pub type Violation = String;
 
-/// What callers saw.
+/// Observations of all callers.
 #[derive(Default)]
 pub struct Record {
-    pub shown: Shown,
-    seen: Mutex<Seen>,
+    pub version_checks: VersionChecks,
+    observations: Mutex<Observations>,
 }
 
 #[derive(Default)]
-struct Seen {
-    /// Unsafe requests that were told not to have run.
+struct Observations {
+    /// IDs of unsafe requests whose answers stated that they did not run.
     not_run: Vec<String>,
     answers: BTreeMap<u16, usize>,
-    broken: Vec<Broken>,
+    violations: Vec<Violation>,
 }
 
 impl Record {
-    /// Takes an answer to an ordinary request: a proper one, on a route that stands in all versions.
-    pub fn answered(&self, id: &str, repeatable: bool, answer: &Message) {
-        let mut seen = self.seen.lock().unwrap();
+    /// Checks an answer to a valid request on a route that all versions contain.
+    pub fn check_answer(&self, id: &str, repeatable: bool, answer: &Message) {
+        let mut observations = self.observations.lock().unwrap();
         let status = answer.status();
-        *seen.answers.entry(status).or_default() += 1;
+        *observations.answers.entry(status).or_default() += 1;
         if answer.header("pointvane-request-id") != Some(id) {
-            seen.broken.push(format!("{id}: an answer to {:?}", answer.header("pointvane-request-id")));
+            observations
+                .violations
+                .push(format!("{id}: the answer names request {:?}", answer.header("pointvane-request-id")));
         }
         if status == 200 && (answer.body != b"hello" || answer.header(STAMP) != Some("s")) {
-            seen.broken.push(format!("{id}: a success that is not the upstream's whole answer"));
+            observations.violations.push(format!("{id}: status 200 without the upstream's complete answer"));
         }
         if matches!(status, 408 | 421 | 429 | 503) && !repeatable {
-            seen.not_run.push(id.into());
+            observations.not_run.push(id.into());
         }
         if (300..500).contains(&status) && !matches!(status, 408 | 421 | 429) {
-            seen.broken.push(format!("{id}: a proper request on a route that always stood got {status}"));
+            observations
+                .violations
+                .push(format!("{id}: a valid request on a route of all versions got {status}"));
         }
     }
 
-    /// Notes what broke by other words.
-    pub fn broke(&self, what: Broken) {
-        self.seen.lock().unwrap().broken.push(what);
+    /// Records a violation found by another check.
+    pub fn add_violation(&self, violation: Violation) {
+        self.observations.lock().unwrap().violations.push(violation);
     }
 
-    /// All broken promises, with what the upstreams ran.
-    pub fn broken(&self, upstreams: &[Upstream]) -> Vec<Broken> {
+    /// Returns all violations, including those that show in the requests that upstreams ran.
+    pub fn violations(&self, upstreams: &[Upstream]) -> Vec<Violation> {
         let mut runs: HashMap<String, usize> = HashMap::new();
         for upstream in upstreams {
             upstream.ran.lock().unwrap().iter().for_each(|id| *runs.entry(id.clone()).or_default() += 1);
         }
-        let seen = self.seen.lock().unwrap();
-        let mut broken = seen.broken.clone();
-        broken.extend(self.shown.broken());
-        let twice = runs.iter().filter(|(id, runs)| id.starts_with("unsafe") && **runs > 1);
-        broken.extend(twice.map(|(id, runs)| format!("{id} ran {runs} times")));
-        let lied = seen.not_run.iter().filter(|id| runs.contains_key(*id));
-        broken.extend(lied.map(|id| format!("{id} was told not to have run, and ran")));
-        broken
+        let observations = self.observations.lock().unwrap();
+        let mut violations = observations.violations.clone();
+        violations.extend(self.version_checks.violations());
+        let repeated = runs.iter().filter(|(id, runs)| id.starts_with("unsafe") && **runs > 1);
+        violations.extend(repeated.map(|(id, runs)| format!("{id} ran {runs} times")));
+        let executed = observations.not_run.iter().filter(|id| runs.contains_key(*id));
+        violations.extend(executed.map(|id| format!("{id} ran, though its answer said that it had not")));
+        violations
     }
 
-    /// Answers by status.
+    /// Returns the number of answers by status.
     pub fn answers(&self) -> BTreeMap<u16, usize> {
-        self.seen.lock().unwrap().answers.clone()
+        self.observations.lock().unwrap().answers.clone()
     }
 }
--- a/standins/tests/soak/restarts.rs
+++ b/standins/tests/soak/restarts.rs
@@ -1,7 +1,8 @@
-//! Upstreams that crash and start again under the identities that they had, while everything else is disturbed, and whether they are used again.
+//! Crashes upstreams and restarts them under their identities during other faults; checks that they receive
+//! requests again.
 
 use {
-    crate::{directory::Listed, fleet::Fleet, record::Record, users_platform::Manner},
+    crate::{directory::ListedUpstream, fleet::Fleet, record::Record, users_platform::Manner},
     rand::{Rng, rngs::SmallRng, seq::IndexedRandom},
     std::{
         ops::Range,
@@ -10,52 +11,52 @@
     },
 };
 
-/// Times that an upstream starts again.
+/// Restarts per run.
 const COUNT: usize = 8;
-/// Time for which it is down, in milliseconds.
-const DOWN_MS: Range<u64> = 50..1_500;
-/// Longest time from when it serves again until its entry says so, in milliseconds.
-const UNLISTED_MS: u64 = 300;
-/// Longest rest between two, in milliseconds.
-const REST_MS: u64 = 1_500;
+/// Downtime, in milliseconds.
+const DOWNTIME_MS: Range<u64> = 50..1_500;
+/// Longest delay between the restart and the updated entry, in milliseconds.
+const RELIST_DELAY_MAX_MS: u64 = 300;
+/// Longest pause between two restarts, in milliseconds.
+const INTERVAL_MAX_MS: u64 = 1_500;
 
-/// Has one upstream after another crash and start again.
-pub fn play(fleet: &Fleet, rng: &mut SmallRng) {
+/// Crashes and restarts one upstream after another.
+pub fn run(fleet: &Fleet, rng: &mut SmallRng) {
     for _ in 0..COUNT {
-        thread::sleep(Duration::from_millis(rng.random_range(0..REST_MS)));
-        let staying = fleet.directory.staying();
+        thread::sleep(Duration::from_millis(rng.random_range(0..INTERVAL_MAX_MS)));
+        let remaining = fleet.directory.remaining();
         let upstreams = fleet.upstreams();
-        // A proxy accepts connections for an upstream that is gone, which hides that it crashed.
+        // A proxy accepts connections for an upstream that is gone, which hides the crash.
         let direct: Vec<usize> =
-            staying.into_iter().filter(|index| upstreams[*index].link.is_none()).collect();
+            remaining.into_iter().filter(|index| upstreams[*index].link.is_none()).collect();
         if let Some(index) = direct.choose(rng) {
-            start_again(fleet, *index, &upstreams[*index], rng);
+            restart_crashed(fleet, *index, &upstreams[*index], rng);
         }
     }
 }
 
-fn start_again(fleet: &Fleet, index: usize, one: &Listed, rng: &mut SmallRng) {
+fn restart_crashed(fleet: &Fleet, index: usize, listed: &ListedUpstream, rng: &mut SmallRng) {
     fleet.count("start again");
-    let disturbed = one.contact.disturb();
-    one.upstream.crash();
-    thread::sleep(Duration::from_millis(rng.random_range(DOWN_MS)));
-    one.upstream.set(Manner::Well);
-    one.upstream.start_again();
-    thread::sleep(Duration::from_millis(rng.random_range(0..UNLISTED_MS)));
-    fleet.directory.list_again(index);
-    drop(disturbed);
+    let fault = listed.faults.begin_fault();
+    listed.upstream.crash();
+    thread::sleep(Duration::from_millis(rng.random_range(DOWNTIME_MS)));
+    listed.upstream.set(Manner::Well);
+    listed.upstream.start_again();
+    thread::sleep(Duration::from_millis(rng.random_range(0..RELIST_DELAY_MAX_MS)));
+    fleet.directory.list_restarted(index);
+    drop(fault);
 }
 
-/// Checks that each that started again and stays has been used since; gives how many did.
+/// Checks that each restarted upstream that has not left received requests since; returns how many there are.
 pub fn check(fleet: &Fleet, record: &Record) -> usize {
     let upstreams = fleet.upstreams();
-    let staying = upstreams.iter().filter(|one| one.left.is_none());
-    let restarted: Vec<(&Listed, Instant)> =
-        staying.filter_map(|one| one.restarted.map(|since| (one, since))).collect();
-    for (one, since) in &restarted {
-        let arrivals = one.upstream.arrivals.lock().unwrap();
+    let remaining = upstreams.iter().filter(|listed| listed.left_at.is_none());
+    let restarted: Vec<(&ListedUpstream, Instant)> =
+        remaining.filter_map(|listed| listed.restarted_at.map(|since| (listed, since))).collect();
+    for (listed, since) in &restarted {
+        let arrivals = listed.upstream.arrivals.lock().unwrap();
         if !arrivals.iter().any(|(_, at)| at > since) {
-            record.broke(format!("{} got nothing since it started again", one.upstream.id));
+            record.add_violation(format!("{} received no request after its restart", listed.upstream.id));
         }
     }
     restarted.len()
--- a/standins/tests/soak/series.rs
+++ b/standins/tests/soak/series.rs
@@ -1,4 +1,4 @@
-//! Series of disturbances that go over all upstreams, all nodes or many versions.
+//! Series of faults that affect all upstreams, all nodes or many versions.
 
 use {
     crate::{
@@ -14,39 +14,39 @@
     std::{thread, time::Duration},
 };
 
-/// Changes of the configuration that a burst publishes, one after another.
+/// Configuration changes that a burst publishes one after another.
 const BURST_CHANGES: std::ops::Range<usize> = 20..50;
-/// Time between two of them: ten a second.
-const BURST_STEP: Duration = Duration::from_millis(100);
-/// Longest rest between two batches of a rolling series, in milliseconds.
-const REST_MS: u64 = 400;
+/// Time between two changes of a burst: ten changes per second.
+const BURST_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest pause between two batches of a rolling series, in milliseconds.
+const INTERVAL_MAX_MS: u64 = 400;
 
-/// How long each manner of misbehaving lasts, and the time from one to the next: several overlap.
-const MISBEHAVES: Duration = Duration::from_millis(1_000);
-const MISBEHAVES_STEP: Duration = Duration::from_millis(300);
+/// Duration of each misbehaviour and the interval between their starts: several overlap.
+const MISBEHAVIOUR_TIME: Duration = Duration::from_millis(1_000);
+const MISBEHAVIOUR_INTERVAL: Duration = Duration::from_millis(300);
 
 type Series = fn(&Fleet, &Plan, &mut SmallRng);
 
-/// Plays all series in an order that is drawn.
-pub fn play(fleet: &Fleet, plan: &Plan, rng: &mut SmallRng) {
+/// Runs all series in random order.
+pub fn run(fleet: &Fleet, plan: &Plan, rng: &mut SmallRng) {
     let mut all: [Series; 4] = [replace_all_upstreams, restart_all_nodes, burst, misbehave];
     all.shuffle(rng);
     for series in all {
         series(fleet, plan, rng);
-        rest(rng);
+        sleep_random(rng);
     }
 }
 
-fn rest(rng: &mut SmallRng) {
-    thread::sleep(Duration::from_millis(rng.random_range(0..REST_MS)));
+fn sleep_random(rng: &mut SmallRng) {
+    thread::sleep(Duration::from_millis(rng.random_range(0..INTERVAL_MAX_MS)));
 }
 
-/// Each batch of upstreams joins before another one leaves, until none of the first is left.
+/// Replaces all upstreams in batches: new ones join before the old ones leave.
 fn replace_all_upstreams(fleet: &Fleet, plan: &Plan, rng: &mut SmallRng) {
     fleet.count("replace all");
-    for batch in fleet.directory.staying().chunks(plan.batch) {
+    for batch in fleet.directory.remaining().chunks(plan.batch_size) {
         batch.iter().for_each(|_| fleet.directory.join());
-        rest(rng);
+        sleep_random(rng);
         for index in batch {
             fleet.directory.leave(*index, rng.random_bool(0.5));
         }
@@ -55,14 +55,14 @@
 
 fn restart_all_nodes(fleet: &Fleet, plan: &Plan, rng: &mut SmallRng) {
     fleet.count("restart all");
-    for batch in fleet.sites.chunks(plan.batch) {
-        let pause = Duration::from_millis(rng.random_range(0..REST_MS));
+    for batch in fleet.nodes.chunks(plan.batch_size) {
+        let pause = Duration::from_millis(rng.random_range(0..INTERVAL_MAX_MS));
         thread::scope(|scope| {
-            for site in batch {
-                scope.spawn(move || restart(fleet, site, "TERM", pause));
+            for node in batch {
+                scope.spawn(move || restart(fleet, node, "TERM", pause));
             }
         });
-        rest(rng);
+        sleep_random(rng);
     }
 }
 
@@ -70,23 +70,23 @@
     fleet.count("burst");
     for _ in 0..rng.random_range(BURST_CHANGES) {
         fleet.versions.publish();
-        thread::sleep(BURST_STEP);
+        thread::sleep(BURST_INTERVAL);
     }
 }
 
-/// Upstreams misbehave in every manner, one after another.
+/// Makes upstreams misbehave in every way, one after another.
 fn misbehave(fleet: &Fleet, _: &Plan, rng: &mut SmallRng) {
     fleet.count("misbehave");
     let mut manners = MANNERS;
     manners.shuffle(rng);
     thread::scope(|scope| {
         for manner in manners {
-            let staying = fleet.directory.staying();
-            if let Some(index) = staying.choose(rng) {
+            let remaining = fleet.directory.remaining();
+            if let Some(index) = remaining.choose(rng) {
                 let upstream = fleet.directory.all()[*index].upstream.clone();
-                scope.spawn(move || misbehave_for(&upstream, manner, MISBEHAVES));
+                scope.spawn(move || misbehave_for(&upstream, manner, MISBEHAVIOUR_TIME));
             }
-            thread::sleep(MISBEHAVES_STEP);
+            thread::sleep(MISBEHAVIOUR_INTERVAL);
         }
     });
 }
--- a/standins/tests/soak/shown.rs
+++ b/standins/tests/soak/shown.rs
@@ -1,4 +1,5 @@
-//! Which versions nodes showed to callers, and whether in time and never back.
+//! Checks the configuration versions that callers observe at nodes: each must apply in time and never be
+//! rolled back.
 
 use {
     crate::{fleet::Fleet, versions::Marker},
@@ -9,95 +10,110 @@
     },
 };
 
-/// Time from the store's acknowledgement until a change is in force at every node in touch: 2 s by the rules, and slack
-/// for loopback and a busy machine. Wall clock; stalls of the machine put all nodes out of touch.
-pub const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_500);
+/// Time from the store's acknowledgement until a change applies at every reachable node: 2 s by the rules,
+/// plus 0.5 s for loopback and a busy machine. Wall clock; no node is checked while the machine stalls.
+pub const PROPAGATION_MAX: Duration = Duration::from_millis(2_500);
 
-/// What a caller knew when it sent a question about a version.
+/// Caller's state when it sent a version query.
 #[derive(Clone, Copy)]
-pub struct Question {
-    site: usize,
-    life: u32,
+pub struct VersionQuery {
+    node_index: usize,
+    incarnation: u32,
     marker: Marker,
     sent: Instant,
-    shown_before: u64,
+    newest_before: u64,
 }
 
-/// The newest version that each life of each node has shown.
+/// The newest version observed at each process of each node, and the violations found.
 #[derive(Default)]
-pub struct Shown {
+pub struct VersionChecks {
     newest: Mutex<HashMap<(usize, u32), u64>>,
-    judged: Mutex<usize>,
-    broken: Mutex<Vec<String>>,
+    checked: Mutex<usize>,
+    violations: Mutex<Vec<String>>,
 }
 
-impl Shown {
-    pub fn asks(&self, site: usize, life: u32, marker: Marker, sent: Instant) -> Question {
-        let shown_before = self.newest.lock().unwrap().get(&(site, life)).copied().unwrap_or_default();
-        Question { site, life, marker, sent, shown_before }
+impl VersionChecks {
+    pub fn begin_query(
+        &self,
+        node_index: usize,
+        incarnation: u32,
+        marker: Marker,
+        sent: Instant,
+    ) -> VersionQuery {
+        let newest_before =
+            self.newest.lock().unwrap().get(&(node_index, incarnation)).copied().unwrap_or_default();
+        VersionQuery { node_index, incarnation, marker, sent, newest_before }
     }
 
-    /// Takes the answer to a question, which is of the same life.
-    pub fn answered(&self, question: Question, status: u16, fleet: &Fleet) {
-        let version = question.marker.version();
-        let known = matches!(status, 200 | 502 | 504);
-        if known {
+    /// Checks the answer to a query that the same process received and answered.
+    pub fn check_answer(&self, query: VersionQuery, status: u16, fleet: &Fleet) {
+        let version = query.marker.version();
+        let is_applied = matches!(status, 200 | 502 | 504);
+        if is_applied {
             let mut newest = self.newest.lock().unwrap();
-            let shown = newest.entry((question.site, question.life)).or_default();
-            *shown = (*shown).max(version);
+            let newest_seen = newest.entry((query.node_index, query.incarnation)).or_default();
+            *newest_seen = (*newest_seen).max(version);
         }
-        // The version whose being in force this answer contradicts.
-        let denied = match question.marker {
+        // The version that, by this answer, is not applied.
+        let contradicted = match query.marker {
             Marker::Since(_) if status == 404 => version,
-            Marker::Only(_) if known => version + 1,
+            Marker::Only(_) if is_applied => version + 1,
             Marker::Since(_) | Marker::Only(_) => {
-                self.judge(&question, status, None, fleet);
+                self.check(&query, status, None, fleet);
                 return;
             }
         };
-        self.judge(&question, status, Some(denied), fleet);
+        self.check(&query, status, Some(contradicted), fleet);
     }
 
-    fn judge(&self, question: &Question, status: u16, denied: Option<u64>, fleet: &Fleet) {
-        let Question { site, life, marker, sent, shown_before } = *question;
-        let node = &fleet.sites[site];
-        if denied.is_some_and(|denied| denied <= shown_before) {
-            self.broke(format!(
-                "{} life {life} went back: {marker:?} gave {status} after version {shown_before} had shown",
+    fn check(&self, query: &VersionQuery, status: u16, contradicted: Option<u64>, fleet: &Fleet) {
+        let VersionQuery { node_index, incarnation, marker, sent, newest_before } = *query;
+        let node = &fleet.nodes[node_index];
+        if contradicted.is_some_and(|contradicted| contradicted <= newest_before) {
+            self.add_violation(format!(
+                "{} incarnation {incarnation} rolled back: {marker:?} gave {status} \
+                 after version {newest_before} had been seen",
                 node.ip
             ));
         }
-        let decisive = match marker {
+        let deciding_version = match marker {
             Marker::Since(version) => version,
             Marker::Only(version) => version + 1,
         };
-        let Some(age) = fleet.versions.taken_at(decisive).map(|taken| sent.saturating_duration_since(taken))
+        let Some(age) = fleet
+            .versions
+            .acknowledged_at(deciding_version)
+            .map(|acknowledged| sent.saturating_duration_since(acknowledged))
         else {
             return;
         };
         let now = Instant::now();
-        if age <= IN_FORCE_WITHIN || !node.contact.sound(sent, now) || !fleet.machine.sound(sent, now) {
+        if age <= PROPAGATION_MAX
+            || !node.faults.is_fault_free(sent, now)
+            || !fleet.machine_stalls.is_fault_free(sent, now)
+        {
             return;
         }
-        *self.judged.lock().unwrap() += 1;
-        if denied.is_some() {
-            self.broke(format!(
-                "{} life {life} in touch: {marker:?} gave {status} though version {decisive} was taken {age:?} before",
+        *self.checked.lock().unwrap() += 1;
+        if contradicted.is_some() {
+            self.add_violation(format!(
+                "{} incarnation {incarnation} is stale: {marker:?} gave {status}, \
+                 but version {deciding_version} was acknowledged {age:?} before",
                 node.ip
             ));
         }
     }
 
-    fn broke(&self, what: String) {
-        self.broken.lock().unwrap().push(what);
+    fn add_violation(&self, violation: String) {
+        self.violations.lock().unwrap().push(violation);
     }
 
-    /// Answers on which the bound was judged.
-    pub fn judged(&self) -> usize {
-        *self.judged.lock().unwrap()
+    /// Returns the number of answers that the time bound was checked on.
+    pub fn checked(&self) -> usize {
+        *self.checked.lock().unwrap()
     }
 
-    pub fn broken(&self) -> Vec<String> {
-        self.broken.lock().unwrap().clone()
+    pub fn violations(&self) -> Vec<String> {
+        self.violations.lock().unwrap().clone()
     }
 }
--- a/standins/tests/soak/site.rs
+++ b/standins/tests/soak/site.rs
@@ -1,8 +1,8 @@
-//! One node, its way to the store, its lives, and what is done to it.
+//! A node of the fleet: its processes, its link to the store and the faults injected into it.
 
 use {
     crate::{
-        contact::{Contact, Disturbance},
+        contact::{ActiveFault, FaultHistory},
         peer_proxy::{PeerLink, PeerProxy},
         proxy::{Link, Proxy},
         users_platform::{Log, NodeProcess, own_address},
@@ -21,77 +21,77 @@
     },
 };
 
-/// Time after SIGTERM at which the platform sends SIGKILL: `grace-s` of the nodes' settings.
+/// Time from SIGTERM until the platform sends SIGKILL: `grace-s` of the nodes' settings.
 const GRACE: Duration = Duration::from_secs(3);
-/// Longest time for which a killed process may be seen. Wall clock: a busy machine may take long to tear one down.
-const END_PATIENCE: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(10);
+/// Time allowed for a killed process to disappear. Wall clock: a busy machine may take long to tear one down.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One node.
-pub struct Site {
-    /// The address that the node advertises.
+/// A node whose process may be restarted.
+pub struct Node {
+    /// Address that the node advertises.
     pub ip: Ipv4Addr,
-    /// Counts the processes that ran here.
-    pub life: AtomicU32,
-    pub contact: Contact,
-    /// Planned stops that were not over at the end of the grace.
+    /// Number of processes started so far.
+    pub incarnation: AtomicU32,
+    pub faults: FaultHistory,
+    /// Planned stops that exceeded [`GRACE`].
     pub overdue: AtomicU32,
     process: Mutex<Option<NodeProcess>>,
-    restarts: AtomicBool,
+    is_restarting: AtomicBool,
     store: Proxy,
-    /// The link to the store while nothing harms it.
+    /// Link state while no fault is injected.
     store_link: Link,
-    peers: Option<PeerGate>,
-    /// Folder of the lines of lives that are over: what broke a promise may have begun in one.
-    past_lives: PathBuf,
+    peer_gate: Option<PeerGate>,
+    /// Folder of the logs of earlier processes: a violation may originate in one.
+    past_logs: PathBuf,
 }
 
-impl Drop for Site {
+impl Drop for Node {
     fn drop(&mut self) {
-        // There is none if the node was never restarted.
-        _ = fs::remove_dir_all(&self.past_lives);
+        // The folder doesn't exist if the node was never restarted.
+        _ = fs::remove_dir_all(&self.past_logs);
     }
 }
 
-/// The proxy that other nodes' messages pass, and where the node listens behind it.
+/// The proxy that receives other nodes' messages, and the address where the node listens behind it.
 struct PeerGate {
     proxy: PeerProxy,
-    bound: Ipv4Addr,
+    bind_ip: Ipv4Addr,
 }
 
 impl PeerGate {
-    fn before(advertised: Ipv4Addr) -> Self {
-        let bound = own_address();
-        Self { proxy: PeerProxy::start(advertised, bound), bound }
+    fn start(advertised: Ipv4Addr) -> Self {
+        let bind_ip = own_address();
+        Self { proxy: PeerProxy::start(advertised, bind_ip), bind_ip }
     }
 }
 
-impl Site {
-    pub fn new(store: SocketAddr, store_link: Link, peer_proxied: bool) -> Self {
+impl Node {
+    pub fn new(store: SocketAddr, store_link: Link, has_peer_proxy: bool) -> Self {
         let ip = own_address();
         let store = Proxy::start(store);
         store.set(store_link);
         Self {
             ip,
-            life: AtomicU32::new(0),
-            contact: Contact::default(),
+            incarnation: AtomicU32::new(0),
+            faults: FaultHistory::default(),
             overdue: AtomicU32::new(0),
             process: Mutex::default(),
-            restarts: AtomicBool::new(false),
+            is_restarting: AtomicBool::new(false),
             store,
             store_link,
-            peers: peer_proxied.then(|| PeerGate::before(ip)),
-            past_lives: env::temp_dir().join(format!("pointvane-lives-{}-{ip}", process::id())),
+            peer_gate: has_peer_proxy.then(|| PeerGate::start(ip)),
+            past_logs: env::temp_dir().join(format!("pointvane-lives-{}-{ip}", process::id())),
         }
     }
 
     pub fn boot(&self, seeds: &[Ipv4Addr]) {
-        let _starts = self.contact.disturb();
-        // Before the start: no answer of the new process may count for the old one.
-        self.life.fetch_add(1, Ordering::SeqCst);
+        let _fault = self.faults.begin_fault();
+        // Counted before the start, so that no answer of the new process is attributed to the old one.
+        self.incarnation.fetch_add(1, Ordering::SeqCst);
         let store = self.store.address;
-        let node = match &self.peers {
-            Some(gate) => NodeProcess::start_bound(self.ip, gate.bound, store, seeds, Log::File),
+        let node = match &self.peer_gate {
+            Some(gate) => NodeProcess::start_bound(self.ip, gate.bind_ip, store, seeds, Log::File),
             None => NodeProcess::start_at(self.ip, store, seeds, Log::File),
         };
         *self.process.lock().unwrap() = Some(node);
@@ -101,65 +101,67 @@
         self.process.lock().unwrap().as_ref().unwrap().until_ready();
     }
 
-    /// Stops the process for a time; other signals may come meanwhile.
+    /// Pauses the process; other signals may be sent meanwhile.
     pub fn pause(&self, time: Duration) {
-        let _paused = self.contact.disturb();
+        let _fault = self.faults.begin_fault();
         self.signal("STOP");
         thread::sleep(time);
-        // Whichever process runs by now: the first signal may have met a later life than the one before it.
+        // Sent to whichever process runs now: it may have been replaced during the pause, and SIGSTOP may have
+        // reached the new one.
         self.signal("CONT");
     }
 
-    /// Ends the process and starts it anew; false when it is being restarted already.
-    pub fn restart(&self, signal: &str, rest: Duration, seeds: &[Ipv4Addr]) -> bool {
-        if self.restarts.swap(true, Ordering::SeqCst) {
+    /// Stops the process and starts a new one; returns false if a restart is in progress.
+    pub fn restart(&self, signal: &str, downtime: Duration, seeds: &[Ipv4Addr]) -> bool {
+        if self.is_restarting.swap(true, Ordering::SeqCst) {
             return false;
         }
-        let _restarted = self.contact.disturb();
+        let _fault = self.faults.begin_fault();
         self.signal(signal);
-        if !self.ends_within(GRACE) {
+        if !self.exits_within(GRACE) {
             self.overdue.fetch_add(1, Ordering::SeqCst);
             self.signal("KILL");
-            assert!(self.ends_within(END_PATIENCE), "{} never ended", self.ip);
+            assert!(self.exits_within(EXIT_TIMEOUT), "{} did not exit after SIGKILL", self.ip);
         }
-        self.keep_log(&self.past_lives);
+        self.keep_log(&self.past_logs);
         *self.process.lock().unwrap() = None;
-        thread::sleep(rest);
+        thread::sleep(downtime);
         self.boot(seeds);
-        self.restarts.store(false, Ordering::SeqCst);
+        self.is_restarting.store(false, Ordering::SeqCst);
         true
     }
 
-    /// Harms the link to the store until the guard is dropped by `mend`.
-    pub fn cut(&self, link: Link) -> Disturbance {
-        let disturbed = self.contact.disturb();
+    /// Impairs the link to the store until the returned guard is handed to [`Node::restore_store_link`].
+    pub fn impair_store_link(&self, link: Link) -> ActiveFault {
+        let fault = self.faults.begin_fault();
         self.store.set(link);
-        disturbed
+        fault
     }
 
-    pub fn mend(&self, disturbed: Disturbance) {
+    pub fn restore_store_link(&self, fault: ActiveFault) {
         self.store.set(self.store_link);
-        drop(disturbed);
+        drop(fault);
     }
 
-    /// Its connection to the store goes silent for good; a new one works. Counts as a reset of its connections.
+    /// Silences the open connections to the store permanently; new ones work. The fault ends at once, like a
+    /// connection reset.
     pub fn silence_store(&self) {
-        let _disturbed = self.contact.disturb();
+        let _fault = self.faults.begin_fault();
         self.store.silence_open();
     }
 
-    /// Harms what other nodes send to this one for a time; false if nothing stands between them.
-    pub fn cut_peers(&self, link: PeerLink, time: Duration) -> bool {
-        let Some(gate) = &self.peers else { return false };
-        let _disturbed = self.contact.disturb();
+    /// Impairs messages from other nodes for a time; returns false if the node has no peer proxy.
+    pub fn impair_peer_link(&self, link: PeerLink, time: Duration) -> bool {
+        let Some(gate) = &self.peer_gate else { return false };
+        let _fault = self.faults.begin_fault();
         gate.proxy.set(link);
         thread::sleep(time);
         gate.proxy.set(PeerLink::Sound);
         true
     }
 
-    /// Whether the process ended though nobody ended it.
-    pub fn ended(&self) -> bool {
+    /// Returns whether no process is running.
+    pub fn has_exited(&self) -> bool {
         !self.process.lock().unwrap().as_mut().is_some_and(NodeProcess::is_running)
     }
 
@@ -167,31 +169,32 @@
         self.process.lock().unwrap().as_ref().map(NodeProcess::id)
     }
 
-    /// Lines of the present life that hold a text.
+    /// Returns the log lines of the current process that contain a text.
     pub fn lines_with(&self, text: &str) -> Vec<String> {
         let lines = self.process.lock().unwrap().as_ref().map(NodeProcess::lines).unwrap_or_default();
         lines.lines().filter(|line| line.contains(text)).map(Into::into).collect()
     }
 
-    /// Copies the lines of all lives into a folder.
+    /// Copies the logs of all processes to a folder.
     pub fn keep_logs(&self, folder: &Path) {
-        let past = fs::read_dir(&self.past_lives).into_iter().flatten().flatten();
+        let past = fs::read_dir(&self.past_logs).into_iter().flatten().flatten();
         past.for_each(|log| _ = fs::copy(log.path(), folder.join(log.file_name())));
         self.keep_log(folder);
     }
 
-    /// Copies the lines of the present life into a folder.
+    /// Copies the log of the current process to a folder.
     fn keep_log(&self, folder: &Path) {
         if let Some(node) = self.process.lock().unwrap().as_ref() {
             _ = fs::create_dir_all(folder);
-            let life = self.life.load(Ordering::SeqCst);
-            _ = fs::copy(&node.output, folder.join(format!("{}-{life}.log", self.ip)));
+            let incarnation = self.incarnation.load(Ordering::SeqCst);
+            _ = fs::copy(&node.output, folder.join(format!("{}-{incarnation}.log", self.ip)));
         }
     }
 
     fn signal(&self, name: &str) {
         let mut process = self.process.lock().unwrap();
-        // A process that has ended by now stays a zombie until it is looked at again under this lock.
+        // An exited process stays a zombie until it is reaped under this lock, so the signal can't reach a
+        // reused process ID.
         if let Some(node) = process.as_mut()
             && node.is_running()
         {
@@ -199,13 +202,13 @@
         }
     }
 
-    fn ends_within(&self, time: Duration) -> bool {
+    fn exits_within(&self, time: Duration) -> bool {
         let until = Instant::now() + time;
         while Instant::now() < until {
-            if self.ended() {
+            if self.has_exited() {
                 return true;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         false
     }
