--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -75,8 +75,8 @@
 /// and upstreams also announce limits.
 const CI_SEEDS: [u64; 8] = [1, 2, 3, 102, 6_001, 7_001, 8_001, 10_001];
 /// Seeds that have violated a guarantee before, which CI runs too; each states the cause. Such seeds with 40
-/// or more nodes are left to manual runs: the store stand-in took up to 8.0 s to answer there, so that no node
-/// received updates.
+/// or more nodes are left to manual runs: the store stand-in took up to 8.0 s to answer there, so that no
+/// node received updates.
 const REGRESSION_SEEDS: [u64; 1] = [
     // An upstream that was pushed to a node between two full reads stayed listed there after it had left
     // (`tests/relays.rs`).
--- a/standins/tests/soak/plan.rs
+++ b/standins/tests/soak/plan.rs
@@ -20,8 +20,8 @@
 /// Upstreams, and nodes, that are reached through a proxy in a full-size run; each proxied connection takes
 /// three threads.
 const PROXIED_MAX: usize = 6;
-/// Seeds whose runs have evacuations. The seeds between have none: some of them have violated a guarantee, and
-/// their plans must stay reproducible.
+/// Seeds whose runs have evacuations. The seeds between have none: some of them have violated a guarantee,
+/// and their plans must stay reproducible.
 const EVACUATING_SEEDS: [Range<u64>; 2] = [0..1_000, 5_000..u64::MAX];
 /// Seeds in whose runs a request crashes upstreams. These upstreams are reached directly: a proxy accepts
 /// connections for an upstream that is gone, which hides the crash.
--- a/standins/tests/soak/site.rs
+++ b/standins/tests/soak/site.rs
@@ -106,8 +106,8 @@
         let _fault = self.faults.begin_fault();
         self.signal("STOP");
         thread::sleep(time);
-        // Sent to whichever process runs now: it may have been replaced during the pause, and SIGSTOP may have
-        // reached the new one.
+        // Sent to whichever process runs now: it may have been replaced during the pause, and SIGSTOP may
+        // have reached the new one.
         self.signal("CONT");
     }
 
