--- a/standins/tests/backing_off.rs
+++ b/standins/tests/backing_off.rs
@@ -1,13 +1,9 @@
-//! Upstreams that ask for a pause, and upstreams that say in their answers that they leave.
+//! Upstreams that ask for a pause, and upstreams that announce in their responses that they are leaving.
 //!
-//! What users saw: six upstreams of a service turned all requests away and asked for 3 s without any (503, `Retry-After: 3`). Nodes that had been
-//! told so sent 11 and 15 more in that time, and up to a third of some kinds of requests was refused.
-//!
-//! Evidence: after the first such answer a node chose the same upstream again and again, in 0 or 1 ms, by a load report 0 ms old that said that
-//! nothing ran there: 1,071 of 1,099 refusals in nine seconds. Of 5,056 requests that came to upstreams in such seconds 17 ran.
-//!
-//! Cause: an answer that says "not run" was booked as busy, which speaks neither for nor against its upstream, and nothing read what else
-//! it said. An upstream that turns everything away has nothing to do, and so drew the requests.
+//! Guards against nodes that ignore `Retry-After`: an upstream that rejects every request reports itself idle,
+//! so it looked like the best choice and attracted the traffic. A rejection marked "not run" counted neither
+//! for nor against its upstream, and the pause in it was not read. Nodes sent 11 and 15 requests within a pause
+//! of 3 s, and up to a third of some kinds of requests was refused.
 
 mod users_platform;
 
@@ -24,34 +20,35 @@
 
 const ROUTES: [(&str, &str, u64, &str); 2] =
     [("/safe/", "safe", 5_000, "app"), ("/unsafe/", "unsafe", 5_000, "app")];
-/// Time for which requests may still arrive that were on their way when the upstream asked.
-const UNDER_WAY: Duration = Duration::from_millis(500);
-/// Requests of one node that may arrive after that and before the end of the pause.
-const ARRIVALS_MAX: usize = 2;
-/// Time after its word within which requests may still reach an upstream that leaves.
-const LEAVES_WITHIN: Duration = Duration::from_millis(2_000);
-/// Pause between two requests of a caller: longer than a load report counts as fresh, so that all upstreams are candidates.
-const BETWEEN: Duration = Duration::from_millis(25);
+/// Time for which requests that were already in flight may still arrive after the upstream asked for a pause.
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
+/// Requests of one node that may arrive between the end of that grace period and the end of the pause.
+const MAX_ARRIVALS_IN_PAUSE: usize = 2;
+/// Time after its announcement within which requests may still reach a leaving upstream.
+const LEAVING_GRACE: Duration = Duration::from_millis(2_000);
+/// Interval between two requests of a caller: longer than a load report counts as fresh, so that all upstreams
+/// are candidates.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 const CALLERS: usize = 6;
-/// Times that a request is sent whose answer nobody waits for, until one was answered in time.
-const TRIES: usize = 10;
-/// Time by which the answer to such a request has come or been cut off.
-const SETTLED: Duration = Duration::from_millis(100);
+/// Attempts to have a pause requested on a connection that is still open.
+const MAX_TRIES: usize = 10;
+/// Time by which the response to such a request has arrived or been cut off.
+const SETTLE_TIME: Duration = Duration::from_millis(100);
 
-struct Site {
+struct Fixture {
     node: NodeProcess,
     store: Store,
     upstreams: Vec<Upstream>,
 }
 
-impl Site {
-    fn start(manners: &[Manner]) -> Self {
+impl Fixture {
+    fn start(behaviours: &[Manner]) -> Self {
         let store = Store::start();
         store.configure(5, &ROUTES);
-        let upstreams: Vec<Upstream> = manners
+        let upstreams: Vec<Upstream> = behaviours
             .iter()
             .enumerate()
-            .map(|(number, manner)| Upstream::start(&format!("i-{number}"), *manner))
+            .map(|(number, behaviour)| Upstream::start(&format!("i-{number}"), *behaviour))
             .collect();
         upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
         let node = NodeProcess::start(&store);
@@ -59,31 +56,32 @@
         Self { node, store, upstreams }
     }
 
-    /// Has one request after another sent whose answer nobody waits for, until the only upstream has asked for a pause on a connection that still
-    /// stood: where the machine holds the upstream up for longer than such an answer is waited for, nothing is judged.
-    fn until_asked(&self, request: impl Fn(usize)) {
-        for number in 0..TRIES {
+    /// Sends requests whose responses nobody waits for until the only upstream has asked for a pause on a
+    /// connection that was still open. A busy machine may delay the upstream until the node has closed the
+    /// connection; such a try proves nothing and is repeated.
+    fn send_until_pause_requested(&self, request: impl Fn(usize)) {
+        for number in 0..MAX_TRIES {
             request(number);
-            thread::sleep(SETTLED);
+            thread::sleep(SETTLE_TIME);
             if !self.upstreams[0].pauses.lock().unwrap().is_empty() {
                 return;
             }
         }
-        panic!("never asked for a pause on a connection that still stood");
+        panic!("no pause was requested on a connection that was still open");
     }
 
-    /// Expects that the only upstream gets the pause that it asked for.
-    fn expect_heeded(&self, pause: Duration) {
-        let (_, asked, _) = self.upstreams[0].pauses.lock().unwrap()[0].clone();
+    /// Expects that the only upstream receives almost nothing during the pause that it asked for.
+    fn expect_pause_honoured(&self, pause: Duration) {
+        let (_, requested_at, _) = self.upstreams[0].pauses.lock().unwrap()[0].clone();
         self.upstreams[0].set(Manner::Well);
-        self.send_for(pause.saturating_sub(asked.elapsed()));
-        let bound = asked + UNDER_WAY..asked + pause;
+        self.send_for(pause.saturating_sub(requested_at.elapsed()));
+        let pause_window = requested_at + IN_FLIGHT_GRACE..requested_at + pause;
         let arrivals = self.upstreams[0].arrivals.lock().unwrap();
-        let in_pause = arrivals.iter().filter(|(_, at)| bound.contains(at)).count();
-        expect_that!(in_pause, le(ARRIVALS_MAX), "of {}", arrivals.len());
+        let in_pause = arrivals.iter().filter(|(_, at)| pause_window.contains(at)).count();
+        expect_that!(in_pause, le(MAX_ARRIVALS_IN_PAUSE), "of {}", arrivals.len());
     }
 
-    /// Has callers send requests for a time; gives their statuses.
+    /// Sends requests from several callers for a time and returns their statuses.
     fn send_for(&self, time: Duration) -> Vec<u16> {
         let until = Instant::now() + time;
         thread::scope(|scope| {
@@ -99,13 +97,13 @@
             let (method, path) = [("GET", "/safe/a"), ("POST", "/unsafe/a")][statuses.len() % 2];
             let id = format!("r-{caller}-{}", statuses.len());
             statuses.push(self.node.request(method, path, &id, 3_000).unwrap().status());
-            thread::sleep(BETWEEN);
+            thread::sleep(REQUEST_INTERVAL);
         }
         statuses
     }
 }
 
-/// When requests arrived at an upstream, from the first on.
+/// Arrival times of requests at an upstream, relative to the first.
 fn arrivals(upstream: &Upstream) -> Vec<Duration> {
     let arrivals = upstream.arrivals.lock().unwrap();
     let first = arrivals.first().map(|(_, at)| *at);
@@ -113,92 +111,99 @@
 }
 
 #[gtest]
-fn an_upstream_that_asks_for_a_pause_gets_it() {
+fn an_upstream_that_asks_for_a_pause_gets_no_requests_during_it() {
     let pause = Duration::from_secs(2);
-    let asks = Manner::AskForPause(pause.as_millis() as u64);
-    let site = Site::start(&[asks, asks, Manner::Well, Manner::Well]);
-    let statuses = site.send_for(pause + Duration::from_secs(1));
+    let asking = Manner::AskForPause(pause.as_millis() as u64);
+    let fixture = Fixture::start(&[asking, asking, Manner::Well, Manner::Well]);
+    let statuses = fixture.send_for(pause + Duration::from_secs(1));
     let served = statuses.iter().filter(|status| **status == 200).count();
     expect_that!(served * 100, ge(statuses.len() * 99), "of {}", statuses.len());
-    for upstream in &site.upstreams[..2] {
+    for upstream in &fixture.upstreams[..2] {
         let arrivals = arrivals(upstream);
-        expect_that!(arrivals.len(), ge(1), "it is used at all");
-        // Each of them was turned away and asked for a pause.
-        let in_pause_of = |asked: &Duration| {
-            let in_pause = |at: &&Duration| (*asked + UNDER_WAY..*asked + pause).contains(*at);
+        expect_that!(arrivals.len(), ge(1), "it received requests");
+        // Every request was rejected with a request for a pause, so each of them starts a new one.
+        let in_pause_of = |requested_at: &Duration| {
+            let in_pause =
+                |at: &&Duration| (*requested_at + IN_FLIGHT_GRACE..*requested_at + pause).contains(*at);
             arrivals.iter().filter(in_pause).count()
         };
         let worst = arrivals.iter().map(in_pause_of).max().unwrap_or_default();
-        expect_that!(worst, le(ARRIVALS_MAX), "{} of {}", upstream.id, arrivals.len());
+        expect_that!(worst, le(MAX_ARRIVALS_IN_PAUSE), "{} of {}", upstream.id, arrivals.len());
     }
 }
 
-/// Its entry says that it is ready, and is written again and again: an upstream that leaves says so in its answers too.
+/// Its entry in the store says `ready` and keeps being renewed; only its responses announce that it is leaving.
 #[gtest]
-fn an_upstream_that_says_in_its_answers_that_it_leaves_gets_no_more_work() {
-    let site = Site::start(&[Manner::Well, Manner::Well]);
-    site.send_for(Duration::from_millis(500));
-    expect_that!(site.upstreams[0].runs(), ge(1), "it is used at all");
-    site.upstreams[0].set(Manner::SayLeaving);
-    let leaves_at = Instant::now();
+fn an_upstream_that_announces_leaving_in_its_responses_gets_no_new_requests() {
+    let fixture = Fixture::start(&[Manner::Well, Manner::Well]);
+    fixture.send_for(Duration::from_millis(500));
+    expect_that!(fixture.upstreams[0].runs(), ge(1), "it received requests");
+    fixture.upstreams[0].set(Manner::SayLeaving);
+    let leaving_since = Instant::now();
     let statuses = thread::scope(|scope| {
         scope.spawn(|| {
             for sequence in 2..8 {
                 thread::sleep(Duration::from_millis(500));
-                site.store.list(&site.upstreams[0], "ready", sequence);
+                fixture.store.list(&fixture.upstreams[0], "ready", sequence);
             }
         });
-        site.send_for(LEAVES_WITHIN + Duration::from_secs(2))
+        fixture.send_for(LEAVING_GRACE + Duration::from_secs(2))
     });
     expect_that!(statuses.iter().all(|status| *status == 200), eq(true));
-    let arrivals = site.upstreams[0].arrivals.lock().unwrap();
-    let late = arrivals.iter().filter(|(_, at)| *at > leaves_at + LEAVES_WITHIN);
+    let arrivals = fixture.upstreams[0].arrivals.lock().unwrap();
+    let late = arrivals.iter().filter(|(_, at)| *at > leaving_since + LEAVING_GRACE);
     expect_that!(late.count(), eq(0), "of {}", arrivals.len());
 }
 
-/// One that turns everything away and asks for nothing has nothing to do either. Its answers tell against its report: on a day on which a fifth to all
-/// upstreams did so, 4 to 7 requests in a hundred were refused in the end while others could have served them.
+/// An upstream that rejects everything without asking for a pause reports itself idle too, so its rejections must
+/// outweigh its load report. When a fifth or more of the upstreams did so, 4 to 7 % of the requests were refused
+/// although other upstreams could have served them.
 #[gtest]
-fn an_upstream_that_turns_all_away_though_it_reports_free_slots_soon_draws_few_requests() {
-    // A pause of 0 asks for nothing.
-    let asks_for_none = Manner::AskForPause(0);
-    let site = Site::start(&[asks_for_none, asks_for_none, Manner::Well, Manner::Well]);
-    let statuses = site.send_for(Duration::from_secs(3));
-    let drawn: usize = site.upstreams[..2].iter().map(|upstream| arrivals(upstream).len()).sum();
-    expect_that!(drawn, ge(1), "they are used at all");
-    expect_that!(drawn * 10, le(statuses.len()), "of {}", statuses.len());
+fn an_upstream_that_rejects_everything_while_reporting_free_slots_gets_few_requests() {
+    // A pause of 0 is no pause.
+    let zero_pause = Manner::AskForPause(0);
+    let fixture = Fixture::start(&[zero_pause, zero_pause, Manner::Well, Manner::Well]);
+    let statuses = fixture.send_for(Duration::from_secs(3));
+    let received: usize = fixture.upstreams[..2].iter().map(|upstream| arrivals(upstream).len()).sum();
+    expect_that!(received, ge(1), "they received requests");
+    expect_that!(received * 10, le(statuses.len()), "of {}", statuses.len());
 }
 
-/// Refused at once, told when the first upstream is back, and served by whoever comes then.
+/// Requests are refused at once with the time at which the first upstream is back; a caller that retries then is
+/// served.
 #[gtest]
-fn where_all_ask_for_a_pause_callers_are_told_at_once_when_to_come_back() {
+fn callers_get_retry_after_at_once_when_all_upstreams_ask_for_a_pause() {
     let pause = Duration::from_millis(1_500);
-    let asks = Manner::AskForPause(pause.as_millis() as u64);
-    let site = Site::start(&[asks, asks]);
-    // Both have been asked by then: the second request finds none left, if the first has not.
-    site.node.request("GET", "/safe/a", "first", 5_000).unwrap();
-    site.node.request("GET", "/safe/a", "second", 5_000).unwrap();
+    let asking = Manner::AskForPause(pause.as_millis() as u64);
+    let fixture = Fixture::start(&[asking, asking]);
+    // After these both upstreams have asked for a pause: the first request may already have tried both.
+    fixture.node.request("GET", "/safe/a", "first", 5_000).unwrap();
+    fixture.node.request("GET", "/safe/a", "second", 5_000).unwrap();
     let began = Instant::now();
-    let refused = site.node.request("GET", "/safe/a", "third", 5_000).unwrap();
-    expect_that!(began.elapsed(), le(Duration::from_millis(300)), "nobody waits for what cannot be served");
+    let refused = fixture.node.request("GET", "/safe/a", "third", 5_000).unwrap();
+    expect_that!(
+        began.elapsed(),
+        le(Duration::from_millis(300)),
+        "a request that cannot be served is refused without waiting"
+    );
     expect_that!(refused.status(), eq(503));
     expect_that!(String::from_utf8_lossy(&refused.body).trim(), eq("upstreams-backing-off"));
     let retry_after: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     expect_that!(retry_after, all!(gt(0.5), le(2.0)));
-    site.upstreams.iter().for_each(|upstream| upstream.set(Manner::Well));
+    fixture.upstreams.iter().for_each(|upstream| upstream.set(Manner::Well));
     thread::sleep(Duration::from_secs_f64(retry_after));
-    expect_that!(site.node.request("GET", "/safe/a", "fourth", 5_000).unwrap().status(), eq(200));
+    expect_that!(fixture.node.request("GET", "/safe/a", "fourth", 5_000).unwrap().status(), eq(200));
 }
 
-/// Requests that were read ahead and forwarded early, several callers at once.
+/// Pipelined requests of several callers, read ahead and forwarded before the earlier ones are answered.
 #[gtest]
-fn requests_sent_together_heed_a_pause_that_is_asked_for_meanwhile() {
+fn pipelined_requests_honour_a_pause_requested_meanwhile() {
     let pause = Duration::from_secs(2);
-    let asks = Manner::AskForPause(pause.as_millis() as u64);
-    let site = Site::start(&[asks, Manner::Well]);
+    let asking = Manner::AskForPause(pause.as_millis() as u64);
+    let fixture = Fixture::start(&[asking, Manner::Well]);
     thread::scope(|scope| {
         for caller in 0..4 {
-            let node = &site.node;
+            let node = &fixture.node;
             scope.spawn(move || {
                 let heads: Vec<String> = (0..12)
                     .map(|number| request_head("GET", "/safe/a", &format!("p-{caller}-{number}"), 5_000))
@@ -212,55 +217,56 @@
             });
         }
     });
-    site.send_for(Duration::from_secs(1));
-    let arrivals = arrivals(&site.upstreams[0]);
-    let late = arrivals.iter().filter(|after| **after > UNDER_WAY).count();
-    expect_that!(late, le(ARRIVALS_MAX), "of {}", arrivals.len());
+    fixture.send_for(Duration::from_secs(1));
+    let arrivals = arrivals(&fixture.upstreams[0]);
+    let late = arrivals.iter().filter(|after| **after > IN_FLIGHT_GRACE).count();
+    expect_that!(late, le(MAX_ARRIVALS_IN_PAUSE), "of {}", arrivals.len());
 }
 
-/// What users would see: an upstream whose pause a node never heard of, since nobody waited for the answer any more: a hedge that lost, a caller that left.
-/// In the soak an upstream asked for 2.96 s in its answer to a hedge, 39 ms after its request had come and right when the first attempt was answered; 64
-/// more requests of that node came within the pause.
+/// Guards against pauses that are lost because the response has no receiver any more, as after a losing hedge or a
+/// caller that disconnected. An upstream that asked for 2.96 s in its response to a losing hedge received 64 more
+/// requests of that node within the pause.
 #[gtest]
-fn a_pause_is_heeded_though_nobody_waits_for_the_answer_that_asks_for_it() {
+fn a_pause_requested_in_a_response_without_a_receiver_is_honoured() {
     let pause = Duration::from_millis(1_500);
-    let site = Site::start(&[Manner::AskForPauseLate { pause_ms: pause.as_millis() as u64, after_ms: 8 }]);
-    site.until_asked(|number| {
+    let fixture =
+        Fixture::start(&[Manner::AskForPauseLate { pause_ms: pause.as_millis() as u64, after_ms: 8 }]);
+    fixture.send_until_pause_requested(|number| {
         let head = request_head("GET", "/safe/a", &format!("leaves-{number}"), 5_000);
-        let mut caller = TcpStream::connect((site.node.ip, 8_144)).unwrap();
+        let mut caller = TcpStream::connect((fixture.node.ip, 8_144)).unwrap();
         caller.write_all(head.as_bytes()).unwrap();
-        // The caller leaves as soon as the request has arrived, before it is answered.
-        while site.upstreams[0].arrivals.lock().unwrap().len() <= number {
+        // The caller disconnects as soon as the request has arrived, before it is answered.
+        while fixture.upstreams[0].arrivals.lock().unwrap().len() <= number {
             thread::yield_now();
         }
     });
-    site.expect_heeded(pause);
+    fixture.expect_pause_honoured(pause);
 }
 
-/// What users would see: requests that wait in an upstream's queue until their time is over are turned away there with the word that it wants none for a
-/// while, and the node that sent them goes on sending. Each such answer is on its way when the node answers its caller by itself, and the
-/// connection that it comes on was closed.
+/// Guards against pauses that arrive just after a deadline: an upstream rejects requests that waited in its queue
+/// until their deadline. Its response was still in flight when the node answered the caller with a time-out and
+/// closed the connection, so the pause was never read.
 #[gtest]
-fn a_pause_is_heeded_that_is_asked_for_when_the_time_of_a_request_is_over() {
+fn a_pause_requested_after_the_deadline_of_a_request_is_honoured() {
     let pause = Duration::from_millis(1_500);
-    let site = Site::start(&[Manner::AskForPauseAtDeadline(pause.as_millis() as u64)]);
-    site.until_asked(|number| {
-        let answer = site.node.request("GET", "/safe/a", &format!("waits-{number}"), 400).unwrap();
-        expect_that!(answer.status(), eq(504));
+    let fixture = Fixture::start(&[Manner::AskForPauseAtDeadline(pause.as_millis() as u64)]);
+    fixture.send_until_pause_requested(|number| {
+        let response = fixture.node.request("GET", "/safe/a", &format!("waits-{number}"), 400).unwrap();
+        expect_that!(response.status(), eq(504));
     });
-    site.expect_heeded(pause);
+    fixture.expect_pause_honoured(pause);
 }
 
-/// Other requests that find it on trial go elsewhere or are refused; that they ended says nothing of the one that is out.
+/// While the trial request is in flight, others go elsewhere or are refused; their end must not end the trial.
 #[gtest]
-fn after_a_pause_one_request_goes_there_alone_until_it_is_answered() {
+fn after_a_pause_a_single_trial_request_is_in_flight_at_a_time() {
     let (pause, work) = (Duration::from_secs(1), Duration::from_millis(150));
-    let site = Site::start(&[Manner::AskForPause(pause.as_millis() as u64)]);
-    site.node.request("GET", "/safe/a", "asked", 5_000).unwrap();
-    site.upstreams[0].set(Manner::After(work.as_millis() as u64));
-    site.send_for(pause + Duration::from_millis(800));
-    let arrivals = arrivals(&site.upstreams[0]);
+    let fixture = Fixture::start(&[Manner::AskForPause(pause.as_millis() as u64)]);
+    fixture.node.request("GET", "/safe/a", "asked", 5_000).unwrap();
+    fixture.upstreams[0].set(Manner::After(work.as_millis() as u64));
+    fixture.send_for(pause + Duration::from_millis(800));
+    let arrivals = arrivals(&fixture.upstreams[0]);
     let first = arrivals.iter().find(|after| **after >= pause).unwrap();
-    let beside = arrivals.iter().filter(|after| (*first..*first + work).contains(after));
-    expect_that!(beside.count(), eq(1), "{arrivals:?}");
+    let concurrent = arrivals.iter().filter(|after| (*first..*first + work).contains(after));
+    expect_that!(concurrent.count(), eq(1), "{arrivals:?}");
 }
--- a/standins/tests/cold_upstreams.rs
+++ b/standins/tests/cold_upstreams.rs
@@ -1,4 +1,5 @@
-//! Cold upstreams, with a node as a real process: what they say of it is heeded.
+//! Upstreams that report in their probe responses that they are cold, with a node process: their request rate is
+//! limited.
 
 mod users_platform;
 
@@ -9,13 +10,14 @@
 };
 
 const ROUTES: [(&str, &str, u64, &str); 1] = [("/", "safe", 5_000, "app")];
-/// Pause between two requests: longer than a load report counts as fresh, so that both upstreams are candidates.
-const PAUSE: Duration = Duration::from_millis(25);
-/// Time after its start for which a node sends cold upstreams nothing.
-const SETTLES: Duration = Duration::from_millis(1_600);
+/// Interval between two requests: longer than a load report counts as fresh, so that both upstreams are candidates.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
+/// Time after its start during which a node sends nothing to cold upstreams.
+const STARTUP_HOLD: Duration = Duration::from_millis(1_600);
 
-/// How many of some requests each of two upstreams ran, of which the second says in its answers to probes that it is cold.
-fn ran(cold_per_s: f64) -> [usize; 2] {
+/// Sends 60 requests to two upstreams, of which the second reports in its probe responses that it is cold, and
+/// returns how many each of them ran.
+fn run_counts(cold_per_s: f64) -> [usize; 2] {
     let store = Store::start();
     let upstreams =
         [("i-0", Manner::Well), ("i-1", Manner::Cold)].map(|(id, manner)| Upstream::start(id, manner));
@@ -23,13 +25,13 @@
     upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
     let node = NodeProcess::start(&store);
     node.until_ready();
-    thread::sleep(SETTLES);
+    thread::sleep(STARTUP_HOLD);
     eventually(|| {
         upstreams[1].asked.load(std::sync::atomic::Ordering::SeqCst) > 0 || request(&node, "first") != 200
     });
     let before = upstreams.each_ref().map(Upstream::runs);
     for number in 0..60 {
-        thread::sleep(PAUSE);
+        thread::sleep(REQUEST_INTERVAL);
         expect_that!(request(&node, &format!("r-{number}")), eq(200));
     }
     let after = upstreams.each_ref().map(Upstream::runs);
@@ -40,16 +42,16 @@
     node.request("GET", "/a", id, 2_000).unwrap().status()
 }
 
-/// Of the few requests a second that the upstream bears this node's share is one in minutes.
+/// The upstream takes only a few requests a second, of which this node's share is one in several minutes.
 #[gtest]
-fn one_that_says_it_is_cold_gets_no_more_than_this_nodes_share() {
-    let [warm, cold] = ran(2.0);
+fn a_cold_upstream_gets_no_more_than_this_nodes_share() {
+    let [warm, cold] = run_counts(2.0);
     expect_that!(cold, le(1));
     expect_that!(warm + cold, eq(60));
 }
 
 #[gtest]
-fn one_whose_service_names_no_rate_is_not_limited() {
-    let [warm, cold] = ran(0.0);
+fn a_cold_upstream_of_a_service_without_a_rate_is_not_limited() {
+    let [warm, cold] = run_counts(0.0);
     expect_that!(warm + cold, eq(60));
 }
--- a/standins/tests/command_lines.rs
+++ b/standins/tests/command_lines.rs
@@ -1,4 +1,4 @@
-//! Arguments and exit codes of all programs stay as they are.
+//! Checks the arguments and exit codes of all programs against the golden file.
 
 use {
     googletest::prelude::*,
@@ -8,43 +8,43 @@
     },
 };
 
-/// Arguments of each program and subcommand, a line each.
+/// Usage and options of each program and subcommand, one per line.
 const ARGUMENTS: &str = include_str!("golden/arguments.txt");
 
 const PROGRAMS: [&str; 5] =
     ["pointvane-entry", "pointvane-control", "pointvane-locate", "pointvane-platform-node", "pointvane"];
 const SUBCOMMANDS: [&str; 7] = ["check", "pack", "diff", "status", "timeline", "explain", "completions"];
 
-/// A program, as `cargo test --workspace` or `cargo build --workspace` built it last.
+/// Runs a program as last built by `cargo test --workspace` or `cargo build --workspace`.
 fn run(program: &str, arguments: &[&str]) -> Output {
     let tests = std::env::current_exe().unwrap();
     let program: PathBuf = tests.parent().unwrap().parent().unwrap().join(program);
     Command::new(program).args(arguments).env_remove("POINTVANE_BOOT").output().unwrap()
 }
 
-/// The usage line and the options with their placeholders, without their explanations.
-fn arguments(program: &str, before: &[&str]) -> String {
-    let output = run(program, &[before, &["--help"]].concat());
+/// Extracts the usage line and the options with their placeholders from `--help`, without descriptions.
+fn arguments(program: &str, subcommand: &[&str]) -> String {
+    let output = run(program, &[subcommand, &["--help"]].concat());
     assert_eq!(output.status.code(), Some(0));
     let help = String::from_utf8(output.stdout).unwrap();
-    let told = help.lines().map(str::trim).filter(|line| {
+    let listed = help.lines().map(str::trim).filter(|line| {
         line.starts_with("Usage:")
             || line.starts_with("-h")
             || line.starts_with("-V")
             || line.starts_with("--")
     });
-    told.map(|line| format!("{}\n", line.split("  ").next().unwrap())).collect()
+    listed.map(|line| format!("{}\n", line.split("  ").next().unwrap())).collect()
 }
 
 #[gtest]
-fn every_program_takes_the_arguments_that_it_always_took() {
-    let mut told: String = PROGRAMS.iter().map(|program| arguments(program, &[])).collect();
-    SUBCOMMANDS.iter().for_each(|subcommand| told += &arguments("pointvane", &[subcommand]));
-    expect_that!(told, eq(ARGUMENTS));
+fn arguments_of_every_program_are_unchanged() {
+    let mut help_lines: String = PROGRAMS.iter().map(|program| arguments(program, &[])).collect();
+    SUBCOMMANDS.iter().for_each(|subcommand| help_lines += &arguments("pointvane", &[subcommand]));
+    expect_that!(help_lines, eq(ARGUMENTS));
 }
 
 #[gtest]
-fn exit_codes_stay_as_they_are() {
+fn exit_codes_are_unchanged() {
     let code = |program: &str, arguments: &[&str]| run(program, arguments).status.code();
     for program in PROGRAMS {
         expect_that!(code(program, &["--no-such-argument"]), some(eq(2)), "{program}");
--- a/standins/tests/crashing_requests.rs
+++ b/standins/tests/crashing_requests.rs
@@ -1,15 +1,11 @@
-//! A request under which upstreams crash.
+//! A request that crashes the upstreams that run it.
 //!
-//! What users saw: one read ended 50 upstreams of a service with 28, and half of the other reads were refused or late for minutes. A caller
-//! sent it, the upstream that ran it crashed, the node tried it at another upstream, which crashed as well, and answered 502. The caller sent
-//! it again, at other nodes, each of which began anew.
-//!
-//! Evidence: within 2 ms of each other all requests at an upstream broke off, 25 to 90 ms after one and the same request was sent there; a
-//! connection tried right after was refused each time, while after a lost or spoiled answer it was accepted. 21 requests broke at two
-//! upstreams in a row.
-//!
-//! Cause: a node judged upstreams by the requests that failed there, and never a request by the upstreams that failed under it; and what it
-//! knew of a request ended with its answer, at that node.
+//! Guards against one request taking down a whole service: the node retried it at a second upstream, which crashed
+//! as well, and the caller repeated it at other nodes, which knew nothing of the earlier crashes. One read caused 50
+//! crashes in a service of 28 upstreams, and half of the other reads were refused or late for minutes. Nodes
+//! therefore count crashes per request, quarantine it and share that with each other. A crash shows in that all
+//! requests at the upstream fail within 2 ms of each other, 25 to 90 ms after it was sent, and a new connection is
+//! refused; after a response that was merely lost or corrupted it is accepted.
 
 mod users_platform;
 
@@ -24,25 +20,25 @@
 
 const ROUTES: [(&str, &str, u64, &str); 2] =
     [("/safe/", "safe", 5_000, "app"), ("/unsafe/", "unsafe", 5_000, "app")];
-/// Time that callers give a request, in milliseconds.
+/// Deadline of a request, in milliseconds.
 const DEADLINE_MS: u64 = 3_000;
-/// Time within which all nodes know of the third crash.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
-/// More sends than this after that time are too many.
-const SENDS_AFTER_MAX: usize = 3;
+/// Time within which all nodes learn of the third crash.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// Maximum number of crashes after that time.
+const MAX_CRASHES_AFTER: usize = 3;
 const NODES: usize = 4;
 const UPSTREAMS: usize = 24;
-/// Rounds in which the request is sent to each node after all must know of it.
+/// Rounds in which the request is sent to each node once all must know of it.
 const ROUNDS_AFTER: usize = 3;
 
-struct Site {
+struct Fixture {
     nodes: Vec<NodeProcess>,
     _store: Store,
     upstreams: Vec<Upstream>,
 }
 
-impl Site {
-    /// Nodes that know each other, before upstreams that crash under requests to a target.
+impl Fixture {
+    /// Starts nodes that know each other, and upstreams that crash on requests to a target.
     fn start(target: &str) -> Self {
         let store = Store::start();
         store.configure(5, &ROUTES);
@@ -71,9 +67,10 @@
         self.nodes[node].request(method, target, id, DEADLINE_MS).unwrap()
     }
 
-    /// Sends the request to one node after another until it has crashed three upstreams; a caller waits a little before it comes again.
-    fn until_three_crashed(&self, method: &str, target: &str) {
-        let until = Instant::now() + KNOWN_WITHIN;
+    /// Sends the request to one node after another until it has crashed three upstreams, with a short pause between
+    /// two tries as a caller would make.
+    fn send_until_three_crashed(&self, method: &str, target: &str) {
+        let until = Instant::now() + PROPAGATION_TIME;
         for round in 0.. {
             if self.crashed() >= 3 || Instant::now() > until {
                 return;
@@ -83,7 +80,7 @@
         }
     }
 
-    /// Sends the request to all nodes, over and over; the statuses.
+    /// Sends the request to all nodes in several rounds and returns the responses.
     fn send_to_all(&self, method: &str, target: &str) -> Vec<Message> {
         let calls = (0..ROUNDS_AFTER * NODES)
             .map(|call| self.send(call % NODES, method, target, &format!("after-{call}")));
@@ -92,40 +89,40 @@
 }
 
 #[gtest]
-fn a_request_under_which_upstreams_crash_soon_reaches_none_at_any_node() {
+fn a_request_that_crashes_upstreams_is_soon_blocked_at_every_node() {
     for (method, target) in [("GET", "/safe/crash"), ("POST", "/unsafe/crash")] {
-        let site = Site::start(target);
-        site.until_three_crashed(method, target);
-        thread::sleep(KNOWN_WITHIN);
-        let before = site.crashed();
-        let answers = site.send_to_all(method, target);
-        expect_that!(site.crashed() - before, le(SENDS_AFTER_MAX), "{method}");
-        // What was not sent is not said to have run, and no caller is asked back to crash more.
-        expect_that!(answers.last().unwrap().status(), eq(503), "{method}");
-        expect_that!(answers.last().unwrap().header("retry-after"), none(), "{method}");
-        // Others of the same caller to the same service are served.
-        let other = site.send(0, method, &format!("{target}/other"), "other");
+        let fixture = Fixture::start(target);
+        fixture.send_until_three_crashed(method, target);
+        thread::sleep(PROPAGATION_TIME);
+        let before = fixture.crashed();
+        let responses = fixture.send_to_all(method, target);
+        expect_that!(fixture.crashed() - before, le(MAX_CRASHES_AFTER), "{method}");
+        // The request was not sent, so the status is 503; without `retry-after` callers do not repeat it.
+        expect_that!(responses.last().unwrap().status(), eq(503), "{method}");
+        expect_that!(responses.last().unwrap().header("retry-after"), none(), "{method}");
+        // Other requests of the same caller to the same service are served.
+        let other = fixture.send(0, method, &format!("{target}/other"), "other");
         expect_that!(other.status(), eq(200), "{method}");
     }
 }
 
-/// Callers vary the query of a request that is the same to its upstreams: a page, a time that keeps caches away.
+/// Callers may vary the query (a page number, a time stamp against caches) of requests that crash upstreams alike.
 #[gtest]
-fn a_request_under_which_upstreams_crash_with_any_query_soon_reaches_none_at_any_node() {
+fn a_request_that_crashes_upstreams_is_soon_blocked_at_every_node_whatever_its_query() {
     let target = "/safe/crash";
-    let site = Site::start(target);
-    let until = Instant::now() + KNOWN_WITHIN;
+    let fixture = Fixture::start(target);
+    let until = Instant::now() + PROPAGATION_TIME;
     for round in 0.. {
-        if site.crashed() >= 3 || Instant::now() > until {
+        if fixture.crashed() >= 3 || Instant::now() > until {
             break;
         }
-        site.send(round % NODES, "GET", &format!("{target}?at={round}"), &format!("first-{round}"));
+        fixture.send(round % NODES, "GET", &format!("{target}?at={round}"), &format!("first-{round}"));
         thread::sleep(Duration::from_millis(100));
     }
-    thread::sleep(KNOWN_WITHIN);
-    let before = site.crashed();
+    thread::sleep(PROPAGATION_TIME);
+    let before = fixture.crashed();
     for call in 0..ROUNDS_AFTER * NODES {
-        site.send(call % NODES, "GET", &format!("{target}?after={call}"), &format!("after-{call}"));
+        fixture.send(call % NODES, "GET", &format!("{target}?after={call}"), &format!("after-{call}"));
     }
-    expect_that!(site.crashed() - before, le(SENDS_AFTER_MAX));
+    expect_that!(fixture.crashed() - before, le(MAX_CRASHES_AFTER));
 }
--- a/standins/tests/data_path.rs
+++ b/standins/tests/data_path.rs
@@ -1,7 +1,7 @@
-//! The data path under awkward callers and upstreams.
+//! The data path with misbehaving callers and upstreams.
 
 use {
-    common::{Answer, call, deploy, key_prefix, read_answer, request, times_run},
+    common::{Response, call, deploy, key_prefix, read_response, request, run_count},
     googletest::prelude::*,
     pointvane_standins::{
         deployment::{Deployment, Program, wait},
@@ -18,8 +18,8 @@
 mod common;
 
 const UPLOAD_BYTES: usize = 100 << 20;
-/// What an entry's memory may grow by while it passes the upload on.
-const GROWTH_MAX_KB: u64 = 16 << 10;
+/// Maximum growth of an entry's peak memory while it forwards the upload, in kilobytes.
+const MAX_GROWTH_KB: u64 = 16 << 10;
 
 fn set_behaviour(deployment: &Deployment, behaviour: &Behaviour) {
     let service = &deployment.plan.services[0];
@@ -36,19 +36,19 @@
     deployment.admin.done(deployment.steering(), &name).unwrap()
 }
 
-/// Upstreams of which the first entry knows that they stay.
-fn heard(deployment: &Deployment) -> usize {
+/// Number of upstreams from which the first entry has evidence that they are not leaving.
+fn upstreams_with_evidence(deployment: &Deployment) -> usize {
     let entry = deployment.vms[0].operator(Program::Entry);
     let status: serde_json::Value = deployment.admin.json(entry, "/status").unwrap();
     let upstreams = status["services"][0]["upstreams"].as_array().unwrap();
     upstreams.iter().filter(|upstream| !upstream["evidence_age_ms"].is_null()).count()
 }
 
-fn get(deployment: &Deployment, path: &str) -> Answer {
+fn get(deployment: &Deployment, path: &str) -> Response {
     call(deployment.vms[0].entry(), &request("GET", path, &[("x-request-id", "r1")], ""))
 }
 
-/// Highest memory a process had so far, in kilobytes.
+/// Peak resident memory of a process, in kilobytes.
 fn memory_peak_kb(process: u32) -> u64 {
     let status = fs::read_to_string(format!("/proc/{process}/status")).unwrap();
     let line = status.lines().find(|line| line.starts_with("VmHWM:")).unwrap();
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn an_upload_of_100_mb_streams_through_without_being_held() {
+fn an_upload_of_100_mb_is_streamed_without_buffering() {
     let deployment = deploy(1, 1, "");
     expect_that!(get(&deployment, "/dispatch/call?work_ms=0").status, eq(200));
     let process = deployment.vms[0].process(Program::Entry).unwrap();
@@ -71,13 +71,13 @@
     for _ in 0..UPLOAD_BYTES / chunk.len() {
         stream.write_all(&chunk).unwrap();
     }
-    let answer = read_answer(&mut stream);
-    expect_that!(answer.body, starts_with(format!("u\n{UPLOAD_BYTES}\n")));
-    expect_that!(memory_peak_kb(process) - before_kb, le(GROWTH_MAX_KB));
+    let response = read_response(&mut stream);
+    expect_that!(response.body, starts_with(format!("u\n{UPLOAD_BYTES}\n")));
+    expect_that!(memory_peak_kb(process) - before_kb, le(MAX_GROWTH_KB));
 }
 
 #[gtest]
-fn work_of_a_caller_that_went_away_is_cancelled_at_the_upstream() {
+fn a_request_is_cancelled_at_the_upstream_when_its_caller_disconnects() {
     let deployment = deploy(1, 1, "");
     let mut stream = TcpStream::connect(deployment.vms[0].entry()).unwrap();
     stream.write_all(request("GET", "/dispatch/call?work_ms=20000", &[], "").as_bytes()).unwrap();
@@ -88,45 +88,46 @@
 }
 
 #[gtest]
-fn an_answer_cut_off_midway_never_looks_whole() {
+fn a_truncated_response_never_looks_complete() {
     let deployment = deploy(1, 1, "");
     set_behaviour(&deployment, &Behaviour { cutting: true, ..Behaviour::default() });
-    let answer = get(&deployment, "/dispatch/call?work_ms=1&size=100000");
-    expect_that!(answer.whole, eq(false));
-    // Under a key, the whole answer is read first, so the caller is told.
+    let response = get(&deployment, "/dispatch/call?work_ms=1&size=100000");
+    expect_that!(response.is_complete, eq(false));
+    // With an idempotency key the whole response is read first, so the caller gets an error.
     let key = key_prefix(&deployment, 0) + "cut";
     let text = request("POST", "/dispatch/call?work_ms=1", &[("idempotency-key", &key)], "booking");
-    let answer = call(deployment.vms[0].entry(), &text);
-    expect_that!(answer.header("pointvane-outcome"), some(eq("unknown")));
+    let response = call(deployment.vms[0].entry(), &text);
+    expect_that!(response.header("pointvane-outcome"), some(eq("unknown")));
 }
 
 #[gtest]
-fn work_that_may_not_be_repeated_is_never_sent_twice() {
+fn an_unsafe_request_is_never_sent_twice() {
     let deployment = deploy(1, 3, "");
     set_behaviour(&deployment, &Behaviour { dying: true, ..Behaviour::default() });
     let key = key_prefix(&deployment, 0) + "once";
     let text = request("POST", "/dispatch/call?work_ms=1", &[("idempotency-key", &key)], "booking");
     for _ in 0..3 {
-        let answer = call(deployment.vms[0].entry(), &text);
-        expect_that!(answer.header("pointvane-outcome"), some(eq("unknown")));
+        let response = call(deployment.vms[0].entry(), &text);
+        expect_that!(response.header("pointvane-outcome"), some(eq("unknown")));
     }
-    expect_that!(times_run(&deployment, &key), eq(1));
+    expect_that!(run_count(&deployment, &key), eq(1));
 }
 
 #[gtest]
-fn a_read_whose_upstream_breaks_is_tried_elsewhere() {
+fn a_read_whose_upstream_fails_is_retried_at_another() {
     let deployment = deploy(1, 3, "");
     let names = &deployment.plan.services[0];
     let (steering, name) = (deployment.steering(), names.upstream_name(0));
-    // An upstream that was never heard gets no retry either: until all were, a read that breaks at the first has nowhere to go.
-    wait("all upstreams to be heard", || {
+    // Retries go only to upstreams that have responded before; until all have, a read that fails at the first upstream
+    // may not be retried.
+    wait("a response from each upstream", || {
         get(&deployment, "/dispatch/call?work_ms=1");
-        heard(&deployment) == 3
+        upstreams_with_evidence(&deployment) == 3
     })
     .unwrap();
     let dying = Behaviour { dying: true, ..Behaviour::default() };
     deployment.admin.set_behaviour(steering, &name, &dying).unwrap();
-    // Which upstream a request goes to is drawn; all must be served, and some were retried.
+    // Upstreams are chosen at random: all requests must succeed, and at least one must have been retried.
     let retries = || deployment.counter(Program::Entry, "pointvane_retries");
     for number in 0..200 {
         expect_that!(get(&deployment, "/dispatch/call?work_ms=1").status, eq(200));
@@ -138,7 +139,7 @@
 }
 
 #[gtest]
-fn a_repeat_joins_the_run_or_gets_its_answer_from_any_entry() {
+fn a_repeated_key_joins_the_running_request_or_gets_its_response_from_any_entry() {
     let deployment = deploy(3, 3, "");
     let key = key_prefix(&deployment, 0) + "order";
     let headers = [("idempotency-key", key.as_str()), ("x-request-id", "first")];
@@ -148,30 +149,30 @@
         let text = text.clone();
         std::thread::spawn(move || call(entry, &text))
     });
-    let answers: Vec<_> = calls.collect::<Vec<_>>().into_iter().map(|call| call.join().unwrap()).collect();
-    for answer in &answers {
-        expect_that!(answer.status, eq(200));
-        expect_that!(answer.body, eq(&answers[0].body));
+    let responses: Vec<_> = calls.collect::<Vec<_>>().into_iter().map(|call| call.join().unwrap()).collect();
+    for response in &responses {
+        expect_that!(response.status, eq(200));
+        expect_that!(response.body, eq(&responses[0].body));
     }
-    expect_that!(call(deployment.vms[1].entry(), &text).body, eq(&answers[0].body));
-    expect_that!(times_run(&deployment, &key), eq(1));
+    expect_that!(call(deployment.vms[1].entry(), &text).body, eq(&responses[0].body));
+    expect_that!(run_count(&deployment, &key), eq(1));
 }
 
 #[gtest]
-fn work_that_may_not_be_repeated_needs_a_key_that_names_its_owner() {
+fn an_unsafe_request_needs_a_key_that_names_its_owner() {
     let deployment = deploy(1, 1, "");
     let entry = deployment.vms[0].entry();
-    let answer = call(entry, &request("POST", "/dispatch/call", &[], "booking"));
-    expect_that!(answer.header("pointvane-error"), some(eq("key-missing")));
+    let response = call(entry, &request("POST", "/dispatch/call", &[], "booking"));
+    expect_that!(response.header("pointvane-error"), some(eq("key-missing")));
     let headers = [("idempotency-key", "order-17")];
-    let answer = call(entry, &request("POST", "/dispatch/call", &headers, "booking"));
-    expect_that!(answer.header("pointvane-error"), some(eq("key-invalid")));
-    expect_that!(answer.header("pointvane-outcome"), some(eq("not-run")));
-    expect_that!(times_run(&deployment, "order-17"), eq(0));
+    let response = call(entry, &request("POST", "/dispatch/call", &headers, "booking"));
+    expect_that!(response.header("pointvane-error"), some(eq("key-invalid")));
+    expect_that!(response.header("pointvane-outcome"), some(eq("not-run")));
+    expect_that!(run_count(&deployment, "order-17"), eq(0));
 }
 
 #[gtest]
-fn heads_that_conflict_exceed_or_dawdle_get_a_clear_end() {
+fn conflicting_oversized_malformed_and_slow_heads_are_rejected() {
     let deployment = deploy(1, 1, "");
     let entry = deployment.vms[0].entry();
     let both = "POST /dispatch/call HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n";
@@ -182,7 +183,7 @@
     let long = request("GET", "/dispatch/call", &[("x-long", &"x".repeat(40_000))], "");
     expect_that!(call(entry, &long).status, eq(431));
     expect_that!(call(entry, "rubbish\r\n\r\n").status, eq(400));
-    // Half a head, then nothing: closed at the head's time limit.
+    // An incomplete head: the connection is closed after `head_timeout_ms`.
     expect_that!(call(entry, "GET /dispatch/call HTTP/1.1\r\nhost:").status, eq(0));
     let headers = [("pointvane-class", "urgent"), ("pointvane-class", "routine")];
     expect_that!(call(entry, &request("GET", "/dispatch/call", &headers, "")).status, eq(400));
@@ -190,10 +191,10 @@
 }
 
 #[gtest]
-fn an_overload_is_refused_at_once_and_told_on_the_time_line() {
+fn an_overload_is_refused_at_once_and_reported_as_events() {
     let deployment = deploy(1, 1, "[admission]\nqueue_share = 0\nqueue_max = 1\n");
     let entry = deployment.vms[0].entry();
-    // The first request waits for the upstream's probe.
+    // The first request waits for the probe of the upstream.
     expect_that!(get(&deployment, "/dispatch/call?work_ms=1").status, eq(200));
     let text = request("GET", "/dispatch/call?work_ms=1500", &[], "");
     let calls: Vec<_> = (0..20)
@@ -202,38 +203,39 @@
             std::thread::spawn(move || call(entry, &text))
         })
         .collect();
-    let answers: Vec<_> = calls.into_iter().map(|call| call.join().unwrap()).collect();
-    let refused: Vec<_> = answers.iter().filter(|answer| answer.status == 503).collect();
+    let responses: Vec<_> = calls.into_iter().map(|call| call.join().unwrap()).collect();
+    let refused: Vec<_> = responses.iter().filter(|response| response.status == 503).collect();
     expect_that!(refused.len(), eq(13));
-    for answer in refused {
-        expect_that!(answer.header("pointvane-error"), some(eq("overloaded")));
-        expect_that!(answer.header("retry-after").and_then(|value| value.parse::<u32>().ok()), some(ge(1)));
+    for response in refused {
+        expect_that!(response.header("pointvane-error"), some(eq("overloaded")));
+        expect_that!(response.header("retry-after").and_then(|value| value.parse::<u32>().ok()), some(ge(1)));
     }
     let operator = deployment.vms[0].operator(Program::Entry);
-    let told = |kind: &str| deployment.admin.text(operator, "/events").unwrap().contains(kind);
-    wait("the overload", || told("overload-began")).unwrap();
-    wait("its end", || told("overload-ended")).unwrap();
+    let event_reported = |kind: &str| deployment.admin.text(operator, "/events").unwrap().contains(kind);
+    wait("the overload", || event_reported("overload-began")).unwrap();
+    wait("its end", || event_reported("overload-ended")).unwrap();
 }
 
 #[gtest]
-fn a_passed_deadline_is_told_apart_from_an_unknown_outcome() {
+fn a_deadline_passed_before_sending_is_distinguished_from_an_unknown_outcome() {
     let deployment = deploy(1, 1, "");
     let entry = deployment.vms[0].entry();
-    let with =
+    let request_with_deadline =
         |deadline| request("GET", "/dispatch/call?work_ms=2000", &[("pointvane-deadline-ms", deadline)], "");
-    expect_that!(call(entry, &with("0")).header("pointvane-outcome"), some(eq("not-run")));
-    let answer = call(entry, &with("100"));
-    expect_that!(answer.header("pointvane-error"), some(eq("upstream-timeout")));
-    expect_that!(answer.header("pointvane-outcome"), some(eq("unknown")));
+    expect_that!(call(entry, &request_with_deadline("0")).header("pointvane-outcome"), some(eq("not-run")));
+    let response = call(entry, &request_with_deadline("100"));
+    expect_that!(response.header("pointvane-error"), some(eq("upstream-timeout")));
+    expect_that!(response.header("pointvane-outcome"), some(eq("unknown")));
 }
 
-/// Three programs: one entry sends, its upstreams turn all away and ask for 4 s; each is asked once, and callers are told when the first is back.
+/// All upstreams of an entry reject every request and ask for a pause of 4 s: each gets one request, two at most, and
+/// callers are told when the first upstream is back.
 #[gtest]
-fn upstreams_that_ask_for_a_pause_get_nothing_until_it_is_over() {
+fn upstreams_that_ask_for_a_pause_get_no_requests_until_it_is_over() {
     let deployment = deploy(1, 3, "");
     set_behaviour(&deployment, &Behaviour { pause_s: 4, ..Behaviour::default() });
     let entry = deployment.vms[0].entry();
-    let answers: Vec<_> = (0..30)
+    let responses: Vec<_> = (0..30)
         .map(|_| {
             std::thread::sleep(std::time::Duration::from_millis(40));
             call(entry, &request("GET", "/dispatch/a", &[], ""))
@@ -246,74 +248,84 @@
     for number in 0..3 {
         expect_that!(done(number).turned_away, all!(ge(1), le(2)), "upstream {number}");
     }
-    let last = answers.last().unwrap();
+    let last = responses.last().unwrap();
     expect_that!(last.status, eq(503));
     expect_that!(last.header("pointvane-error"), some(eq("upstreams-backing-off")));
     let retry_after_s: u64 = last.header("retry-after").unwrap().parse().unwrap();
     expect_that!(retry_after_s, ge(3));
 }
 
-/// Three programs: the answer in which an upstream asks for a pause comes when nobody waits for it any more, since its caller left or its time is
-/// over; requests sent after that are withheld all the same.
+/// The response in which an upstream asks for a pause arrives after the caller has disconnected or the deadline has
+/// passed; the entry must withhold later requests all the same.
 #[gtest]
-fn an_entry_heeds_a_pause_though_nobody_waits_for_the_answer_that_asks_for_it() {
-    let left = |entry| {
+fn an_entry_honours_a_pause_requested_in_a_response_without_a_receiver() {
+    let disconnect = |entry| {
         let mut stream = TcpStream::connect(entry).unwrap();
         stream.write_all(request("GET", "/dispatch/call", &[], "").as_bytes()).unwrap();
         std::thread::sleep(std::time::Duration::from_millis(5));
     };
-    let waited = |entry| {
-        let answer = call(entry, &request("GET", "/dispatch/call", &[("pointvane-deadline-ms", "95")], ""));
-        expect_that!(answer.header("pointvane-error"), some(eq("upstream-timeout")));
+    let wait_until_deadline = |entry| {
+        let response = call(entry, &request("GET", "/dispatch/call", &[("pointvane-deadline-ms", "95")], ""));
+        expect_that!(response.header("pointvane-error"), some(eq("upstream-timeout")));
     };
     let pauses = Behaviour { pause_s: 4, ..Behaviour::default() };
-    // The stand-in does not see whether its answer still reached the entry, which a busy machine may hold up for longer than it is waited for: one of three plays must show it.
+    // The stand-in does not see whether its response still reached the entry, as a busy machine may delay it for too
+    // long; one of three runs must succeed.
     let at_once = Behaviour { turn_away_after_ms: 10, ..pauses.clone() };
-    expect_that!((0..3).any(|_| is_pause_heeded(&at_once, left)), eq(true), "the caller left");
+    expect_that!(
+        (0..3).any(|_| is_pause_honoured(&at_once, disconnect)),
+        eq(true),
+        "the caller disconnected"
+    );
     let at_deadline = Behaviour { turn_away_at_deadline: true, ..pauses };
-    expect_that!((0..3).any(|_| is_pause_heeded(&at_deadline, waited)), eq(true), "its time was over");
+    expect_that!(
+        (0..3).any(|_| is_pause_honoured(&at_deadline, wait_until_deadline)),
+        eq(true),
+        "the deadline passed"
+    );
 }
 
-/// Whether those requests are withheld that follow one whose answer nobody waits for, to an upstream that turns it away after a time, on a connection that still stands.
-fn is_pause_heeded(asks: &Behaviour, request_once: impl Fn(SocketAddr)) -> bool {
+/// Sends requests whose responses nobody waits for until the upstream has asked for a pause; returns whether the entry
+/// then withholds all further requests.
+fn is_pause_honoured(behaviour: &Behaviour, request_once: impl Fn(SocketAddr)) -> bool {
     let deployment = deploy(1, 1, "");
     let entry = deployment.vms[0].entry();
     expect_that!(get(&deployment, "/dispatch/call?work_ms=1").status, eq(200));
-    set_behaviour(&deployment, asks);
-    let was_asked = (0..10).any(|_| {
+    set_behaviour(&deployment, behaviour);
+    let was_paused = (0..10).any(|_| {
         request_once(entry);
         std::thread::sleep(std::time::Duration::from_millis(150));
         done(&deployment).turned_away > 0
     });
     set_behaviour(&deployment, &Behaviour::default());
-    let is_withheld = |_| {
-        let answer = get(&deployment, "/dispatch/call?work_ms=1");
-        answer.header("pointvane-error") == Some("upstreams-backing-off")
+    let is_refused = |_| {
+        let response = get(&deployment, "/dispatch/call?work_ms=1");
+        response.header("pointvane-error") == Some("upstreams-backing-off")
     };
-    was_asked && (0..10).all(is_withheld)
+    was_paused && (0..10).all(is_refused)
 }
 
-/// Three programs: an upstream may say in its answer to a probe that it wants nothing for a while.
+/// An upstream may ask for a pause in its response to a probe.
 #[gtest]
-fn an_entry_heeds_a_pause_that_is_asked_for_in_the_answer_to_a_probe() {
+fn an_entry_honours_a_pause_requested_in_a_probe_response() {
     let deployment = deploy(1, 1, "");
     set_behaviour(&deployment, &Behaviour { pause_s: 4, pause_on_probes: true, ..Behaviour::default() });
     let refused = || {
-        let answer = get(&deployment, "/dispatch/call?work_ms=1");
-        expect_that!(answer.header("pointvane-error"), some(eq("upstreams-backing-off")));
+        let response = get(&deployment, "/dispatch/call?work_ms=1");
+        expect_that!(response.header("pointvane-error"), some(eq("upstreams-backing-off")));
     };
-    // The first request waits for the upstream's probe, which is sent again if the machine holds its answer up.
+    // The first request waits for the probe of the upstream, which is repeated if a busy machine delays the response.
     refused();
-    let asked = done(&deployment).turned_away;
-    expect_that!(asked, ge(1));
+    let rejected_before = done(&deployment).turned_away;
+    expect_that!(rejected_before, ge(1));
     (0..10).for_each(|_| refused());
     let Done { ran, turned_away, .. } = done(&deployment);
-    expect_that!((ran, turned_away), eq((0, asked)), "it gets neither work nor another probe");
+    expect_that!((ran, turned_away), eq((0, rejected_before)), "it gets neither requests nor another probe");
 }
 
-/// Three programs: entries learn of a limit from answers and from each other.
+/// Entries learn of a limit from responses and from each other.
 #[gtest]
-fn entries_together_send_an_upstream_no_more_than_the_limit_that_it_names() {
+fn entries_together_respect_the_limit_that_an_upstream_announces() {
     let deployment = deploy(3, 3, "");
     let limited = deployment.plan.services[0].upstream_name(0);
     let named = Behaviour { limit_per_1000_s: Some(2_500), ..Behaviour::default() };
@@ -341,7 +353,7 @@
     expect_that!(
         statuses.iter().all(|status| *status == 200),
         eq(true),
-        "others serve what it does not take"
+        "the other upstreams serve the rest"
     );
-    expect_that!(ran() - before, all!(ge(2), le(20)), "1.5 times the limit, and 5");
+    expect_that!(ran() - before, all!(ge(2), le(20)), "at most 1.5 times the limit, plus 5");
 }
--- a/standins/tests/evacuations.rs
+++ b/standins/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuation of a data centre, with nodes as real processes: what upstreams get and what callers are told.
+//! Evacuation of a data centre with node processes: which upstreams get requests and what callers are told.
 
 mod users_platform;
 
@@ -8,13 +8,14 @@
     users_platform::{Manner, NodeProcess, Store, Upstream, eventually},
 };
 
-/// Requests that are sent to see where they go.
+/// Requests sent to observe how they are distributed.
 const REQUESTS: usize = 40;
-/// Pause before each: longer than a load report counts as fresh, so that the one upstream whose report is always fresh does not get them all.
-const PAUSE: Duration = Duration::from_millis(25);
+/// Interval between two requests: longer than a load report counts as fresh; otherwise the upstream that served the
+/// last request would have the only fresh report and get all of them.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A store with one upstream in each of two data centres.
-fn platform() -> (Store, [Upstream; 2]) {
+/// Starts a store with one upstream in each of two data centres.
+fn start_store() -> (Store, [Upstream; 2]) {
     let store = Store::start();
     let upstreams = ["i-0", "i-1"].map(|id| Upstream::start(id, Manner::Well));
     store.configure(5, &[("/", "safe", 5_000, "app")]);
@@ -23,12 +24,12 @@
     (store, upstreams)
 }
 
-/// How many of some requests to a node each upstream ran, and the last answer's status.
-fn ran_at(node: &NodeProcess, upstreams: &[Upstream; 2]) -> ([usize; 2], u16) {
+/// Sends requests to a node; returns how many of them each upstream ran, and the status of the last response.
+fn send_requests(node: &NodeProcess, upstreams: &[Upstream; 2]) -> ([usize; 2], u16) {
     let before = upstreams.each_ref().map(Upstream::runs);
     let mut status = 0;
     for number in 0..REQUESTS {
-        thread::sleep(PAUSE);
+        thread::sleep(REQUEST_INTERVAL);
         status = node.request("GET", "/a", &format!("r-{number}"), 2_000).unwrap().status();
     }
     let after = upstreams.each_ref().map(Upstream::runs);
@@ -36,32 +37,36 @@
 }
 
 #[gtest]
-fn an_evacuated_data_centre_gets_nothing_from_any_node_until_that_is_taken_back() {
-    let (store, upstreams) = platform();
+fn an_evacuated_data_centre_gets_no_requests_from_any_node_until_the_evacuation_ends() {
+    let (store, upstreams) = start_store();
     let node = NodeProcess::start(&store);
     node.until_ready();
-    eventually(|| ran_at(&node, &upstreams).0[0] > 0);
+    eventually(|| send_requests(&node, &upstreams).0[0] > 0);
     store.evacuate("one");
-    eventually(|| ran_at(&node, &upstreams).0[0] == 0);
-    let newcomer = NodeProcess::start_in(&store, &[node.ip]);
-    newcomer.until_ready();
-    expect_that!(ran_at(&newcomer, &upstreams), eq(([0, REQUESTS], 200)), "a node that starts meanwhile");
-    expect_that!(ran_at(&node, &upstreams), eq(([0, REQUESTS], 200)));
+    eventually(|| send_requests(&node, &upstreams).0[0] == 0);
+    let late_node = NodeProcess::start_in(&store, &[node.ip]);
+    late_node.until_ready();
+    expect_that!(
+        send_requests(&late_node, &upstreams),
+        eq(([0, REQUESTS], 200)),
+        "a node that starts during the evacuation"
+    );
+    expect_that!(send_requests(&node, &upstreams), eq(([0, REQUESTS], 200)));
     store.take_back("one");
-    eventually(|| ran_at(&node, &upstreams).0[0] > 0);
-    eventually(|| ran_at(&newcomer, &upstreams).0[0] > 0);
+    eventually(|| send_requests(&node, &upstreams).0[0] > 0);
+    eventually(|| send_requests(&late_node, &upstreams).0[0] > 0);
 }
 
 #[gtest]
-fn callers_are_told_at_once_when_all_data_centres_are_evacuated() {
-    let (store, upstreams) = platform();
+fn requests_are_refused_at_once_when_all_data_centres_are_evacuated() {
+    let (store, upstreams) = start_store();
     let node = NodeProcess::start(&store);
     node.until_ready();
     store.evacuate("one");
     store.evacuate("two");
-    eventually(|| ran_at(&node, &upstreams) == ([0, 0], 503));
-    let answer = node.request("GET", "/a", "last", 2_000).unwrap();
-    expect_that!(answer.body, eq(b"evacuated\n"));
-    expect_that!(answer.header("retry-after"), some(eq("1.000")));
+    eventually(|| send_requests(&node, &upstreams) == ([0, 0], 503));
+    let response = node.request("GET", "/a", "last", 2_000).unwrap();
+    expect_that!(response.body, eq(b"evacuated\n"));
+    expect_that!(response.header("retry-after"), some(eq("1.000")));
     expect_that!(node.lines(), contains_substring("evacuation-changed"));
 }
--- a/standins/tests/kept_connections.rs
+++ b/standins/tests/kept_connections.rs
@@ -1,4 +1,4 @@
-//! Many kept connections on one server: nobody may starve while the others go on.
+//! Many keep-alive connections on one server: none may starve while the others are in use.
 
 use {
     googletest::prelude::*,
@@ -16,69 +16,69 @@
 };
 
 const CONNECTIONS: usize = 64;
-const ANSWERS: usize = 20;
-/// Far longer than any answer takes; starved connections wait for ever.
-const LIMIT: Duration = Duration::from_secs(20);
+const RESPONSES_PER_CONNECTION: usize = 20;
+/// Far longer than any response takes; a starved connection would wait for ever.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How many of the connections, opened together and all kept in use, got their answers.
+/// Opens all connections together and keeps them in use; returns how many got all their responses.
 fn connections_answered(address: SocketAddr, path: &str) -> usize {
-    let done = Arc::new(AtomicUsize::new(0));
-    let over = Arc::new(AtomicBool::new(false));
+    let completed = Arc::new(AtomicUsize::new(0));
+    let stop = Arc::new(AtomicBool::new(false));
     let start = |_| {
-        let (done, over, path) = (Arc::clone(&done), Arc::clone(&over), path.to_owned());
-        thread::spawn(move || keep_calling(address, &path, &done, &over))
+        let (completed, stop, path) = (Arc::clone(&completed), Arc::clone(&stop), path.to_owned());
+        thread::spawn(move || send_until_stopped(address, &path, &completed, &stop))
     };
     let threads: Vec<_> = (0..CONNECTIONS).map(start).collect();
-    let until = Instant::now() + LIMIT;
-    while done.load(Ordering::Relaxed) < CONNECTIONS && Instant::now() < until {
+    let until = Instant::now() + TEST_TIMEOUT;
+    while completed.load(Ordering::Relaxed) < CONNECTIONS && Instant::now() < until {
         thread::sleep(Duration::from_millis(10));
     }
-    let answered = done.load(Ordering::Relaxed);
-    over.store(true, Ordering::Relaxed);
+    let answered = completed.load(Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     for thread in threads {
         thread.join().unwrap();
     }
     answered
 }
 
-/// Calls until all have had their answers, so that no connection is freed for another.
-fn keep_calling(address: SocketAddr, path: &str, done: &AtomicUsize, over: &AtomicBool) {
+/// Sends requests until every connection has its responses, so that no connection is released for another.
+fn send_until_stopped(address: SocketAddr, path: &str, completed: &AtomicUsize, stop: &AtomicBool) {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
-    let mut answers = 0;
-    while !over.load(Ordering::Relaxed) {
+    let mut responses = 0;
+    while !stop.load(Ordering::Relaxed) {
         stream
             .write_all(format!("GET {path} HTTP/1.1\r\nhost: dispatch.example\r\n\r\n").as_bytes())
             .unwrap();
-        if !read_answer(&mut stream, over) {
+        if !read_response(&mut stream, stop) {
             return;
         }
-        answers += 1;
-        if answers == ANSWERS {
-            done.fetch_add(1, Ordering::Relaxed);
+        responses += 1;
+        if responses == RESPONSES_PER_CONNECTION {
+            completed.fetch_add(1, Ordering::Relaxed);
         }
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Reads one whole answer, however long it takes, unless all is over.
-fn read_answer(stream: &mut TcpStream, over: &AtomicBool) -> bool {
-    let mut answer = Vec::new();
+/// Reads one complete response; returns false when the test ends first.
+fn read_response(stream: &mut TcpStream, stop: &AtomicBool) -> bool {
+    let mut response = Vec::new();
     let mut buffer = [0; 4_096];
-    while !over.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         if let Ok(length) = stream.read(&mut buffer) {
             assert_ne!(length, 0, "closed by the server");
-            answer.extend_from_slice(&buffer[..length]);
+            response.extend_from_slice(&buffer[..length]);
         }
-        if is_whole(&answer) {
+        if is_complete(&response) {
             return true;
         }
     }
     false
 }
 
-fn is_whole(answer: &[u8]) -> bool {
-    let text = String::from_utf8_lossy(answer);
+fn is_complete(response: &[u8]) -> bool {
+    let text = String::from_utf8_lossy(response);
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
     };
@@ -92,7 +92,7 @@
 }
 
 #[gtest]
-fn no_kept_connection_starves_on_an_entry_or_a_locate() {
+fn no_keep_alive_connection_starves_on_an_entry() {
     let plan = Plan {
         data_centres: 1,
         entries: 1,
--- a/standins/tests/operator_ports.rs
+++ b/standins/tests/operator_ports.rs
@@ -1,4 +1,4 @@
-//! Names and labels of all metrics, and the fields of `/status`, stay as they are.
+//! Checks the names and labels of all metrics and the fields of `/status` against golden files.
 
 mod common;
 mod users_platform;
@@ -12,8 +12,8 @@
     users_platform::{Manner, NodeProcess, Store, Upstream, call, eventually},
 };
 
-const NODE: &str = include_str!("golden/node_operator_port.txt");
-const PROGRAMS: &str = include_str!("golden/programs_operator_ports.txt");
+const NODE_GOLDEN: &str = include_str!("golden/node_operator_port.txt");
+const PROGRAMS_GOLDEN: &str = include_str!("golden/programs_operator_ports.txt");
 const NODE_OPERATOR_PORT: u16 = 9_464;
 
 fn get(address: SocketAddr, path: &str) -> String {
@@ -21,7 +21,7 @@
     String::from_utf8(call(address, &head).unwrap().body).unwrap()
 }
 
-/// Names of the metrics with those of their labels.
+/// Lists the names of the metrics, each with the names of its labels.
 fn metrics(text: &str) -> BTreeSet<String> {
     let samples = text.lines().filter(|line| line.starts_with("pointvane"));
     samples
@@ -35,7 +35,7 @@
         .collect()
 }
 
-/// Paths of all fields with the types of their values.
+/// Collects the paths of all fields with the types of their values.
 fn fields(path: &str, value: &Value, found: &mut BTreeSet<String>) {
     match value {
         Value::Object(object) => {
@@ -49,15 +49,15 @@
     }
 }
 
-/// What an operator port offers, a line each.
-fn offered(program: &str, address: SocketAddr) -> String {
+/// Lists the metrics and status fields that an operator port exposes, one per line.
+fn exposed(program: &str, address: SocketAddr) -> String {
     let mut found = metrics(&get(address, "/metrics"));
     fields("status", &serde_json::from_str(&get(address, "/status")).unwrap(), &mut found);
     found.into_iter().map(|line| format!("{program} {line}\n")).collect()
 }
 
 #[gtest]
-fn a_nodes_metrics_and_status_keep_their_names() {
+fn metrics_and_status_fields_of_a_node_are_unchanged() {
     let store = Store::start();
     let upstreams = [Upstream::start("i-0", Manner::Well), Upstream::start("i-1", Manner::Well)];
     store.configure(5, &[("/safe/", "safe", 5_000, "app")]);
@@ -66,21 +66,22 @@
     let node = NodeProcess::start_in(&store, &[first.ip]);
     node.until_ready();
     node.request("GET", "/none/", "none", 5_000).unwrap();
-    let calls = || (0..40).for_each(|number| _ = node.request("GET", "/safe/a", &format!("{number}"), 5_000));
-    // Savings of the budget of repeats, then something to repeat.
-    calls();
+    let send_requests =
+        || (0..40).for_each(|number| _ = node.request("GET", "/safe/a", &format!("{number}"), 5_000));
+    // Fills the retry budget, then causes retries.
+    send_requests();
     upstreams[0].set(Manner::LoseAnswer);
     let address = SocketAddr::from((node.ip, NODE_OPERATOR_PORT));
     eventually(|| {
-        calls();
+        send_requests();
         let text = get(address, "/metrics");
         ["repeats", "peer_questions", "refusals", "probes"].iter().all(|name| text.contains(name))
     });
-    compare(&offered("node", address), NODE);
+    compare(&exposed("node", address), NODE_GOLDEN);
 }
 
 #[gtest]
-fn a_node_counts_the_entries_that_it_cannot_understand() {
+fn a_node_counts_invalid_store_entries() {
     let store = Store::start();
     store.put("servers/i-of-another-writer", "rubbish");
     store.configure(5, &[("/safe/", "safe", 5_000, "app")]);
@@ -91,17 +92,17 @@
     expect_that!(counted, contains_substring(r#"reason="form""#));
 }
 
-/// Compares with a golden list, in which `?` marks what shows only in some runs.
-fn compare(offered: &str, golden: &str) {
-    let offered: BTreeSet<&str> = offered.lines().collect();
+/// Compares with a golden list, in which `?` marks entries that appear only in some runs.
+fn compare(exposed: &str, golden: &str) {
+    let exposed: BTreeSet<&str> = exposed.lines().collect();
     let known: BTreeSet<&str> = golden.lines().map(|line| line.trim_start_matches('?')).collect();
-    let always: BTreeSet<&str> = golden.lines().filter(|line| !line.starts_with('?')).collect();
-    expect_that!(offered.difference(&known).collect::<Vec<_>>(), is_empty());
-    expect_that!(always.difference(&offered).collect::<Vec<_>>(), is_empty());
+    let required: BTreeSet<&str> = golden.lines().filter(|line| !line.starts_with('?')).collect();
+    expect_that!(exposed.difference(&known).collect::<Vec<_>>(), is_empty());
+    expect_that!(required.difference(&exposed).collect::<Vec<_>>(), is_empty());
 }
 
 #[gtest]
-fn the_three_programs_metrics_and_status_keep_their_names() {
+fn metrics_and_status_fields_of_the_three_programs_are_unchanged() {
     let mut deployment = deploy(2, 2, "");
     let entry = deployment.vms[0].entry();
     for number in 0..30 {
@@ -112,12 +113,12 @@
     common::call(entry, &request("GET", "/nowhere", &[], ""));
     deployment.publish().unwrap();
     let port = |program| deployment.vms[0].operator(program);
-    let whole = || {
+    let all_present = || {
         let text = get(port(Program::Entry), "/metrics") + &get(port(Program::Control), "/metrics");
         ["load_sent_bytes", "gossip_sent", "platform_reads"].iter().all(|name| text.contains(name))
     };
-    wait("metrics", whole).unwrap();
+    wait("metrics", all_present).unwrap();
     let programs = [("entry", Program::Entry), ("control", Program::Control), ("locate", Program::Locate)];
-    let all: String = programs.iter().map(|(name, program)| offered(name, port(*program))).collect();
-    compare(&all, PROGRAMS);
+    let all: String = programs.iter().map(|(name, program)| exposed(name, port(*program))).collect();
+    compare(&all, PROGRAMS_GOLDEN);
 }
--- a/standins/tests/peer_links.rs
+++ b/standins/tests/peer_links.rs
@@ -1,4 +1,4 @@
-//! Nodes that reach each other through proxies, while these pass, delay, lose or reset what nodes send to each other.
+//! Nodes that reach each other through proxies, which forward, delay, drop or reset the traffic between them.
 
 #[path = "soak/peer_proxy.rs"]
 mod peer_proxy;
@@ -19,15 +19,15 @@
 
 const OPERATOR_PORT: u16 = 9_464;
 const NODES: usize = 3;
-/// Delay of a slow link in these tests. Not measured: a query and its answer take twice that, which must stay well below the 200 ms
-/// (`peer_timeout_ms`) within which an answer must begin.
-const DELAY: Duration = Duration::from_millis(50);
-/// Time of a loss one way. Not measured: some times the time that all queries for one revision take.
-const LOSS: Duration = Duration::from_secs(3);
-/// Longest wait for one answer of an echo.
+/// One-way delay of a slow link. A query and its response take twice that, which must stay well below the 200 ms
+/// (`peer_timeout_ms`) within which a response must begin.
+const LINK_DELAY: Duration = Duration::from_millis(50);
+/// Duration of a one-way loss: several times as long as all queries for one revision take.
+const LOSS_DURATION: Duration = Duration::from_secs(3);
+/// Maximum wait for an echoed response.
 const ECHO_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Nodes behind proxies. The first one alone reaches the platform's store: the others learn all from their peers.
+/// Nodes behind proxies. Only the first one reaches the platform's store; the others get everything from their peers.
 struct Fleet {
     proxies: Vec<PeerProxy>,
     nodes: Vec<NodeProcess>,
@@ -37,14 +37,14 @@
 impl Fleet {
     fn start() -> Self {
         let store = Store::start();
-        let nowhere = SocketAddr::from((own_address(), 8_142));
+        let unreachable = SocketAddr::from((own_address(), 8_142));
         let addresses: Vec<(Ipv4Addr, Ipv4Addr)> =
             (0..NODES).map(|_| (own_address(), own_address())).collect();
         let seeds: Vec<Ipv4Addr> = addresses.iter().map(|(advertised, _)| *advertised).collect();
         let proxies = addresses.iter().map(|(advertised, bound)| PeerProxy::start(*advertised, *bound));
         let proxies = proxies.collect();
         let nodes = addresses.iter().enumerate().map(|(number, (advertised, bound))| {
-            let store = if number == 0 { store.address } else { nowhere };
+            let store = if number == 0 { store.address } else { unreachable };
             NodeProcess::start_bound(*advertised, *bound, store, &seeds, Log::File)
         });
         let fleet = Self { proxies, nodes: nodes.collect(), store };
@@ -52,7 +52,7 @@
         fleet
     }
 
-    /// Sets the link before every node.
+    /// Sets the state of the links of all nodes.
     fn set(&self, link: PeerLink) {
         self.proxies.iter().for_each(|proxy| proxy.set(link));
     }
@@ -61,7 +61,7 @@
         self.store.configure(version, &[("/safe/", "safe", 2_000, "app")]);
     }
 
-    fn until_all_are_well(&self, version: u64) {
+    fn until_all_converged(&self, version: u64) {
         for node in &self.nodes {
             node.until_ready();
             eventually(|| field(node, "members") == NODES as u64);
@@ -70,18 +70,18 @@
     }
 }
 
-/// A number in a node's status; 0 while it gives none.
+/// Reads a number from the status of a node; 0 if it is not available.
 fn field(node: &NodeProcess, name: &str) -> u64 {
     let head = "GET /status HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    let answer = call((node.ip, OPERATOR_PORT).into(), head);
-    let status = answer.ok().and_then(|answer| serde_json::from_slice::<Value>(&answer.body).ok());
+    let response = call((node.ip, OPERATOR_PORT).into(), head);
+    let status = response.ok().and_then(|response| serde_json::from_slice::<Value>(&response.body).ok());
     status.and_then(|status| status[name].as_u64()).unwrap_or_default()
 }
 
 #[gtest]
-fn nodes_behind_proxies_are_well_again_after_each_cut() {
+fn nodes_converge_again_after_each_partition() {
     let fleet = Fleet::start();
-    fleet.until_all_are_well(1);
+    fleet.until_all_converged(1);
     for (version, cut) in [(2, PeerLink::Silent), (3, PeerLink::Reset)] {
         fleet.set(cut);
         for node in &fleet.nodes {
@@ -93,47 +93,47 @@
             expect_that!(field(node, "configuration_version"), eq(version - 1));
         }
         fleet.set(PeerLink::Sound);
-        fleet.until_all_are_well(version);
+        fleet.until_all_converged(version);
     }
 }
 
 #[gtest]
 fn nodes_learn_a_configuration_over_slow_links() {
     let fleet = Fleet::start();
-    fleet.until_all_are_well(1);
-    fleet.set(PeerLink::Slow(DELAY));
+    fleet.until_all_converged(1);
+    fleet.set(PeerLink::Slow(LINK_DELAY));
     fleet.publish(2);
-    fleet.until_all_are_well(2);
+    fleet.until_all_converged(2);
 }
 
 #[gtest]
-fn nodes_learn_a_configuration_after_what_comes_to_them_was_lost() {
-    learn_after(PeerLink::LostIn);
+fn nodes_learn_a_configuration_after_inbound_loss() {
+    expect_convergence_after(PeerLink::LostIn);
 }
 
 #[gtest]
-fn nodes_learn_a_configuration_after_their_answers_were_lost() {
-    learn_after(PeerLink::LostOut);
+fn nodes_learn_a_configuration_after_outbound_loss() {
+    expect_convergence_after(PeerLink::LostOut);
 }
 
-/// A configuration is published during a loss; all nodes learn it after the loss.
-fn learn_after(loss: PeerLink) {
+/// Publishes a configuration during a loss and checks that all nodes learn it once the loss is over.
+fn expect_convergence_after(loss: PeerLink) {
     let fleet = Fleet::start();
-    fleet.until_all_are_well(1);
+    fleet.until_all_converged(1);
     let before: Vec<u64> = fleet.proxies.iter().map(PeerProxy::lost).collect();
     fleet.set(loss);
     fleet.publish(2);
     eventually(|| field(&fleet.nodes[0], "configuration_version") == 2);
     // Longer than all queries for one revision take.
-    thread::sleep(LOSS);
+    thread::sleep(LOSS_DURATION);
     for (proxy, before) in fleet.proxies.iter().zip(before) {
         expect_that!(proxy.lost(), gt(before));
     }
     fleet.set(PeerLink::Sound);
-    fleet.until_all_are_well(2);
+    fleet.until_all_converged(2);
 }
 
-/// Answers datagrams at an address with themselves.
+/// Echoes datagrams sent to an address.
 fn echo_datagrams(address: SocketAddr) {
     let socket = UdpSocket::bind(address).unwrap();
     thread::spawn(move || {
@@ -144,7 +144,7 @@
     });
 }
 
-/// Answers connections at an address with what they bring.
+/// Echoes the bytes of connections to an address.
 fn echo_connections(address: SocketAddr) {
     let listener = TcpListener::bind(address).unwrap();
     thread::spawn(move || {
@@ -154,13 +154,13 @@
     });
 }
 
-/// Sends a datagram to a port that is proxied.
+/// Sends a datagram to a proxied port.
 fn send(socket: &UdpSocket, to: SocketAddr, text: &str) {
     socket.send_to(text.as_bytes(), to).unwrap();
 }
 
-/// The next datagram that comes back, which must come from where the first one was sent to.
-fn next(socket: &UdpSocket, expected_from: SocketAddr) -> String {
+/// Receives the next datagram, which must come from the expected address.
+fn receive(socket: &UdpSocket, expected_from: SocketAddr) -> String {
     let mut buffer = [0; 64];
     let (length, from) = socket.recv_from(&mut buffer).unwrap();
     assert_eq!(from, expected_from);
@@ -174,7 +174,7 @@
 }
 
 #[gtest]
-fn datagrams_pass_are_delayed_or_are_lost_and_answers_find_their_sender() {
+fn datagrams_are_forwarded_delayed_or_dropped_and_responses_reach_their_sender() {
     let (advertised, bound) = (own_address(), own_address());
     let proxy = PeerProxy::start(advertised, bound);
     for port in [GOSSIP_PORT, RELAY_PORT, QUARANTINE_PORT] {
@@ -183,8 +183,8 @@
         let (one, other) = (datagram_client(), datagram_client());
         send(&one, to, "one");
         send(&other, to, "other");
-        expect_that!(next(&one, to), eq("one"));
-        expect_that!(next(&other, to), eq("other"));
+        expect_that!(receive(&one, to), eq("one"));
+        expect_that!(receive(&other, to), eq("other"));
         for loss in [PeerLink::Silent, PeerLink::LostIn, PeerLink::LostOut, PeerLink::Reset] {
             let lost = proxy.lost();
             proxy.set(loss);
@@ -192,31 +192,31 @@
             eventually(|| proxy.lost() == lost + 1);
             proxy.set(PeerLink::Sound);
             send(&one, to, "sound");
-            expect_that!(next(&one, to), eq("sound"));
+            expect_that!(receive(&one, to), eq("sound"));
         }
-        proxy.set(PeerLink::Slow(DELAY));
+        proxy.set(PeerLink::Slow(LINK_DELAY));
         let sent_at = Instant::now();
         send(&one, to, "slow");
-        expect_that!(next(&one, to), eq("slow"));
-        // There and back.
-        expect_that!(sent_at.elapsed(), ge(2 * DELAY));
+        expect_that!(receive(&one, to), eq("slow"));
+        // Both directions are delayed.
+        expect_that!(sent_at.elapsed(), ge(2 * LINK_DELAY));
         proxy.set(PeerLink::Sound);
     }
 }
 
-/// Opens a connection and has it answered once.
+/// Opens a connection and completes one echo on it.
 fn echoed_connection(to: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(to).unwrap();
     stream.set_read_timeout(Some(ECHO_TIMEOUT)).unwrap();
     stream.write_all(b"well").unwrap();
-    let mut answer = [0; 4];
-    stream.read_exact(&mut answer).unwrap();
-    assert_eq!(&answer, b"well");
+    let mut response = [0; 4];
+    stream.read_exact(&mut response).unwrap();
+    assert_eq!(&response, b"well");
     stream
 }
 
 #[gtest]
-fn connections_pass_with_their_ends_lose_what_follows_a_loss_and_are_reset() {
+fn connections_are_forwarded_with_their_end_dropped_after_a_loss_and_reset() {
     let (advertised, bound) = (own_address(), own_address());
     let proxy = PeerProxy::start(advertised, bound);
     echo_connections((bound, GOSSIP_PORT).into());
@@ -233,7 +233,7 @@
         proxy.set(PeerLink::Sound);
         stream.write_all(b"more").unwrap();
         eventually(|| proxy.lost() == lost + 2);
-        // Its end is lost as well, and must not count for the next connection.
+        // The end of the connection is dropped as well; wait for it, so that it is not counted for the next one.
         drop(stream);
         eventually(|| proxy.lost() == lost + 3);
     }
@@ -243,7 +243,7 @@
 }
 
 #[gtest]
-fn a_dropped_proxy_frees_its_addresses() {
+fn a_dropped_proxy_releases_its_addresses() {
     let (advertised, bound) = (own_address(), own_address());
     drop(PeerProxy::start(advertised, bound));
     eventually(|| {
--- a/standins/tests/pipelining.rs
+++ b/standins/tests/pipelining.rs
@@ -1,4 +1,4 @@
-//! Callers that send further requests before the first is answered.
+//! HTTP/1.1 pipelining: callers that send further requests before the first one is answered.
 
 mod users_platform;
 
@@ -13,50 +13,50 @@
         time::{Duration, Instant},
     },
     users_platform::{
-        HOST, Manner, Message, NodeProcess, Options, Store, Terms, Upstream, eventually, read_message,
-        request_head,
+        ConfigurationOptions, HOST, Manner, Message, NodeProcess, Options, Store, Upstream, eventually,
+        read_message, request_head,
     },
 };
 
 const ROUTES: [(&str, &str, u64, &str); 2] =
     [("/safe/", "safe", 20_000, "app"), ("/unsafe/", "unsafe", 20_000, "app")];
-/// Time that upstreams take, in milliseconds.
+/// Processing time of upstreams, in milliseconds.
 const WORK_MS: u64 = 400;
-/// Target latency that no machine's speed makes a request late by: a probe that is answered later than the time of a search leaves the decision to
-/// admission, which refuses what would be late.
+/// Target latency high enough that no request is late on a slow machine, in milliseconds. When a probe takes longer
+/// than the search for an upstream may, admission decides and refuses requests that would be late.
 const TARGET_MS: u64 = 20_000;
-/// Requests of one connection that are under way at once, by default.
-const UNDER_WAY_MAX: usize = 8;
+/// Default maximum number of concurrent requests of one connection.
+const MAX_CONCURRENT: usize = 8;
 
-fn terms() -> Terms {
-    Terms { target_latency_ms: TARGET_MS, ..Terms::default() }
+fn configuration_options() -> ConfigurationOptions {
+    ConfigurationOptions { target_latency_ms: TARGET_MS, ..ConfigurationOptions::default() }
 }
 
-/// A ready node before so many upstreams of a manner.
-fn served(manner: Manner, upstreams: usize) -> (NodeProcess, Store, Vec<Upstream>) {
+/// Starts a ready node and upstreams that all behave alike.
+fn start_with_upstreams(behaviour: Manner, upstreams: usize) -> (NodeProcess, Store, Vec<Upstream>) {
     let store = Store::start();
     let upstreams: Vec<Upstream> =
-        (0..upstreams).map(|number| Upstream::start(&format!("i-{number}"), manner)).collect();
-    store.configure_on(5, &ROUTES, &terms());
+        (0..upstreams).map(|number| Upstream::start(&format!("i-{number}"), behaviour)).collect();
+    store.configure_with(5, &ROUTES, &configuration_options());
     upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
     let node = NodeProcess::start(&store);
     node.until_ready();
     (node, store, upstreams)
 }
 
-/// The same before one upstream of a manner, with options.
-fn served_with(options: Options, manner: Manner) -> (NodeProcess, Store, Vec<Upstream>) {
+/// Starts a ready node with options and one upstream.
+fn start_with_options(options: Options, behaviour: Manner) -> (NodeProcess, Store, Vec<Upstream>) {
     let store = Store::start();
-    let upstreams = vec![Upstream::start("i-0", manner)];
-    store.configure_on(5, &ROUTES, &terms());
+    let upstreams = vec![Upstream::start("i-0", behaviour)];
+    store.configure_with(5, &ROUTES, &configuration_options());
     store.list(&upstreams[0], "ready", 1);
     let node = NodeProcess::start_with_options(&store, options);
     node.until_ready();
     (node, store, upstreams)
 }
 
-/// A connection on which all requests are sent at once.
-fn sent(node: &NodeProcess, requests: &[String]) -> (TcpStream, BufReader<TcpStream>) {
+/// Opens a connection and sends all requests at once.
+fn send_pipelined(node: &NodeProcess, requests: &[String]) -> (TcpStream, BufReader<TcpStream>) {
     let mut stream = TcpStream::connect(node.traffic()).unwrap();
     stream.write_all(requests.concat().as_bytes()).unwrap();
     let reader = BufReader::new(stream.try_clone().unwrap());
@@ -67,27 +67,28 @@
     request_head("GET", &format!("/safe/{number}"), &format!("id-{number}"), 20_000)
 }
 
-fn runs(upstreams: &[Upstream]) -> usize {
+fn run_count(upstreams: &[Upstream]) -> usize {
     upstreams.iter().map(Upstream::runs).sum()
 }
 
-/// Requests that ran, each counted once though it was hedged.
-fn ran(upstreams: &[Upstream]) -> usize {
+/// Number of distinct requests that ran; a hedged one counts once.
+fn distinct_requests_run(upstreams: &[Upstream]) -> usize {
     let ids = upstreams.iter().flat_map(|upstream| upstream.ran.lock().unwrap().clone());
     ids.collect::<HashSet<String>>().len()
 }
 
-/// The most requests that were under way at once, each counted once though it was hedged: each stays for the time that upstreams take at least.
-fn most_under_way(upstreams: &[Upstream]) -> usize {
+/// Maximum number of concurrent requests; a hedged one counts once. Each takes at least the processing time of the
+/// upstreams.
+fn max_concurrent(upstreams: &[Upstream]) -> usize {
     let arrivals = upstreams.iter().flat_map(|upstream| upstream.arrivals.lock().unwrap().clone());
     let mut first: HashMap<String, Instant> = HashMap::new();
     for (id, at) in arrivals {
         first.entry(id).and_modify(|known| *known = at.min(*known)).or_insert(at);
     }
     let work = Duration::from_millis(WORK_MS);
-    let under_way =
+    let concurrent =
         |at: &Instant| first.values().filter(|other| *other <= at && *at < **other + work).count();
-    first.values().map(under_way).max().unwrap_or_default()
+    first.values().map(concurrent).max().unwrap_or_default()
 }
 
 fn arrived_at(upstreams: &[Upstream], id: &str) -> Option<Instant> {
@@ -98,15 +99,18 @@
     upstreams.iter().find_map(arrival)
 }
 
-fn expect_answers(reader: &mut BufReader<TcpStream>, ids: impl IntoIterator<Item = String>) -> Vec<Message> {
-    let answer = |id: String| {
-        let answer = read_message(reader).unwrap();
-        expect_that!(answer.header("pointvane-request-id"), some(eq(id.as_str())));
-        expect_that!(answer.status(), eq(200));
-        expect_that!(answer.body, eq(b"hello"));
-        answer
+fn expect_responses(
+    reader: &mut BufReader<TcpStream>,
+    ids: impl IntoIterator<Item = String>,
+) -> Vec<Message> {
+    let response = |id: String| {
+        let response = read_message(reader).unwrap();
+        expect_that!(response.header("pointvane-request-id"), some(eq(id.as_str())));
+        expect_that!(response.status(), eq(200));
+        expect_that!(response.body, eq(b"hello"));
+        response
     };
-    ids.into_iter().map(answer).collect()
+    ids.into_iter().map(response).collect()
 }
 
 fn ids(count: usize) -> impl Iterator<Item = String> {
@@ -114,31 +118,31 @@
 }
 
 #[gtest]
-fn safe_requests_are_forwarded_side_by_side_and_answered_in_order() {
-    let (node, _store, upstreams) = served(Manner::After(WORK_MS), 4);
+fn safe_requests_are_forwarded_concurrently_and_answered_in_order() {
+    let (node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 4);
     let requests: Vec<String> = (0..4).map(get).collect();
-    let (_stream, mut reader) = sent(&node, &requests);
-    expect_answers(&mut reader, ids(1));
-    expect_that!(ran(&upstreams), eq(4), "all run while the first is answered");
-    expect_answers(&mut reader, ids(4).skip(1));
+    let (_stream, mut reader) = send_pipelined(&node, &requests);
+    expect_responses(&mut reader, ids(1));
+    expect_that!(distinct_requests_run(&upstreams), eq(4), "all had started when the first was answered");
+    expect_responses(&mut reader, ids(4).skip(1));
 }
 
 #[gtest]
-fn a_long_row_of_requests_is_answered_whole_with_a_bounded_number_under_way() {
-    let (node, _store, upstreams) = served(Manner::After(WORK_MS), 6);
+fn a_long_pipeline_is_answered_completely_with_bounded_concurrency() {
+    let (node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 6);
     let requests: Vec<String> = (0..40).map(get).collect();
-    let (_stream, mut reader) = sent(&node, &requests);
-    expect_answers(&mut reader, ids(40));
-    expect_that!(ran(&upstreams), eq(40));
-    expect_that!(most_under_way(&upstreams), le(UNDER_WAY_MAX));
+    let (_stream, mut reader) = send_pipelined(&node, &requests);
+    expect_responses(&mut reader, ids(40));
+    expect_that!(distinct_requests_run(&upstreams), eq(40));
+    expect_that!(max_concurrent(&upstreams), le(MAX_CONCURRENT));
 }
 
 #[gtest]
-fn work_that_may_not_be_repeated_starts_when_those_ahead_of_it_are_answered() {
-    let (node, _store, upstreams) = served(Manner::After(WORK_MS), 4);
-    let order = request_head("POST", "/unsafe/a", "id-1", 20_000);
-    let (_stream, mut reader) = sent(&node, &[get(0), order, get(2)]);
-    expect_answers(&mut reader, ids(3));
+fn an_unsafe_request_starts_once_those_before_it_are_answered() {
+    let (node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 4);
+    let unsafe_request = request_head("POST", "/unsafe/a", "id-1", 20_000);
+    let (_stream, mut reader) = send_pipelined(&node, &[get(0), unsafe_request, get(2)]);
+    expect_responses(&mut reader, ids(3));
     let arrivals: Vec<Instant> = ids(3).map(|id| arrived_at(&upstreams, &id).unwrap()).collect();
     let work = Duration::from_millis(WORK_MS);
     expect_that!(arrivals[1], ge(arrivals[0] + work));
@@ -146,8 +150,8 @@
 }
 
 #[gtest]
-fn bytes_of_a_body_are_never_taken_for_a_request() {
-    let (node, _store, upstreams) = served(Manner::After(WORK_MS), 4);
+fn bytes_of_a_body_are_never_parsed_as_a_request() {
+    let (node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 4);
     let hidden = get(9);
     let start = |id: &str| {
         format!(
@@ -160,15 +164,15 @@
         start("id-1"),
         hidden.len()
     );
-    let (_stream, mut reader) = sent(&node, &[length, chunks, get(2), get(3)]);
-    expect_answers(&mut reader, ids(4));
-    expect_that!(runs(&upstreams), eq(4));
+    let (_stream, mut reader) = send_pipelined(&node, &[length, chunks, get(2), get(3)]);
+    expect_responses(&mut reader, ids(4));
+    expect_that!(run_count(&upstreams), eq(4));
     expect_that!(arrived_at(&upstreams, "id-9"), none());
 }
 
 #[gtest]
-fn a_head_that_comes_in_pieces_behind_another_request_is_served() {
-    let (node, _store, _upstreams) = served(Manner::After(WORK_MS), 4);
+fn a_fragmented_head_after_another_request_is_served() {
+    let (node, _store, _upstreams) = start_with_upstreams(Manner::After(WORK_MS), 4);
     let requests = [get(0), get(1)].concat();
     let mut stream = TcpStream::connect(node.traffic()).unwrap();
     for piece in requests.as_bytes().chunks(requests.len() / 2 + 30) {
@@ -176,26 +180,26 @@
         thread::sleep(Duration::from_millis(50));
     }
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    expect_answers(&mut reader, ids(2));
+    expect_responses(&mut reader, ids(2));
 }
 
 #[gtest]
-fn a_caller_that_leaves_frees_the_upstreams_of_all_its_requests() {
-    let (node, _store, upstreams) = served(Manner::After(15_000), 4);
+fn a_disconnect_cancels_all_pipelined_requests_at_their_upstreams() {
+    let (node, _store, upstreams) = start_with_upstreams(Manner::After(15_000), 4);
     let requests: Vec<String> = (0..3).map(get).collect();
-    let (stream, reader) = sent(&node, &requests);
-    eventually(|| runs(&upstreams) == 3);
+    let (stream, reader) = send_pipelined(&node, &requests);
+    eventually(|| run_count(&upstreams) == 3);
     drop((stream, reader));
     let left = || upstreams.iter().map(|upstream| upstream.left.load(Ordering::SeqCst)).sum::<usize>();
     eventually(|| left() == 3);
 }
 
 #[gtest]
-fn a_request_that_was_not_read_when_its_caller_left_is_never_sent() {
-    let (node, _store, upstreams) = served(Manner::After(WORK_MS), 1);
-    let order = request_head("POST", "/unsafe/a", "id-1", 20_000);
-    let (stream, reader) = sent(&node, &[get(0), order]);
-    eventually(|| runs(&upstreams) == 1);
+fn a_request_not_yet_read_when_its_caller_disconnects_is_never_sent() {
+    let (node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 1);
+    let unsafe_request = request_head("POST", "/unsafe/a", "id-1", 20_000);
+    let (stream, reader) = send_pipelined(&node, &[get(0), unsafe_request]);
+    eventually(|| run_count(&upstreams) == 1);
     drop((stream, reader));
     eventually(|| upstreams[0].left.load(Ordering::SeqCst) == 1);
     thread::sleep(Duration::from_millis(2 * WORK_MS));
@@ -203,34 +207,34 @@
 }
 
 #[gtest]
-fn a_planned_stop_answers_all_that_is_under_way_and_says_so_when_it_closes() {
-    let (mut node, _store, upstreams) = served(Manner::After(WORK_MS), 4);
+fn a_graceful_shutdown_answers_requests_in_flight_and_announces_the_close() {
+    let (mut node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 4);
     let requests: Vec<String> = (0..3).map(get).collect();
-    let (mut stream, mut reader) = sent(&node, &requests);
-    eventually(|| runs(&upstreams) == 3);
+    let (mut stream, mut reader) = send_pipelined(&node, &requests);
+    eventually(|| run_count(&upstreams) == 3);
     node.signal("TERM");
     eventually(|| node.ready() == 503);
-    // Sent behind an answer that closes: it has not run.
+    // Sent after the last response that the node will give on this connection: it must not run.
     stream.write_all(request_head("POST", "/unsafe/a", "late", 20_000).as_bytes()).unwrap();
-    let answers = expect_answers(&mut reader, ids(3));
+    let responses = expect_responses(&mut reader, ids(3));
     let closes: Vec<bool> =
-        answers.iter().map(|answer| answer.header("connection") == Some("close")).collect();
+        responses.iter().map(|response| response.header("connection") == Some("close")).collect();
     expect_that!(closes, elements_are![eq(&false), eq(&false), eq(&true)]);
     expect_that!(node.ended(), some(eq(0)));
     expect_that!(arrived_at(&upstreams, "late"), none());
 }
 
 #[gtest]
-fn with_one_request_at_a_time_a_body_that_comes_with_its_head_is_read() {
+fn without_pipelining_a_body_that_arrives_with_its_head_is_read() {
     let options = Options { pipeline_requests: Some(1), ..Options::default() };
-    let (node, _store, upstreams) = served_with(options, Manner::Well);
+    let (node, _store, upstreams) = start_with_options(options, Manner::Well);
     for number in 0..3 {
-        let order = request_head("POST", "/unsafe/a", &format!("id-{number}"), 5_000);
-        let answer = node.request("POST", "/unsafe/a", &format!("one-{number}"), 5_000).unwrap();
-        expect_that!(answer.status(), eq(200));
-        let (_stream, mut reader) = sent(&node, &[order, get(9), get(8)]);
+        let unsafe_request = request_head("POST", "/unsafe/a", &format!("id-{number}"), 5_000);
+        let response = node.request("POST", "/unsafe/a", &format!("one-{number}"), 5_000).unwrap();
+        expect_that!(response.status(), eq(200));
+        let (_stream, mut reader) = send_pipelined(&node, &[unsafe_request, get(9), get(8)]);
         for id in [format!("id-{number}"), "id-9".into(), "id-8".into()] {
-            expect_answers(&mut reader, [id]);
+            expect_responses(&mut reader, [id]);
         }
     }
     expect_that!(upstreams[0].last.lock().unwrap().body, is_empty());
--- a/standins/tests/restarted_upstreams.rs
+++ b/standins/tests/restarted_upstreams.rs
@@ -1,8 +1,8 @@
-//! Upstreams that start again under the identity that they had.
+//! Upstreams that restart under the same identity.
 //!
-//! An upstream that crashes may come back under its identity: it holds and knows nothing of before, and the count of its entry's updates starts
-//! anew. Nodes that took a lower count for an older entry left it out for as long as its former life had lasted, and one that had been
-//! draining in its former life for good.
+//! An upstream that restarts after a crash has no state, and the sequence number of its entry starts from the
+//! beginning. Guards against nodes that take the lower sequence number for an older entry: they ignored such an
+//! upstream for as long as its previous incarnation had lasted, and for good if that had been draining.
 
 mod users_platform;
 
@@ -16,22 +16,22 @@
 };
 
 const ROUTES: [(&str, &str, u64, &str); 1] = [("/safe/", "safe", 5_000, "app")];
-/// Time within which an upstream whose entry is known gets work.
-const WORK_WITHIN: Duration = Duration::from_secs(1);
-/// Time after which an entry that changes nothing would have shown.
-const SETTLED: Duration = Duration::from_secs(2);
-/// Starts of two lives, in Unix milliseconds.
-const FIRST_BORN_MS: u64 = 1_790_000_000_000;
-const SECOND_BORN_MS: u64 = 1_790_000_060_000;
+/// Time within which an upstream gets requests once its entry is listed.
+const SERVED_WITHIN: Duration = Duration::from_secs(1);
+/// Time after which the effect of an entry, if it had any, would be visible.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Start times of two incarnations, in Unix milliseconds.
+const FIRST_START_MS: u64 = 1_790_000_000_000;
+const SECOND_START_MS: u64 = 1_790_000_060_000;
 
-/// One upstream and a node that lists nothing else.
-struct Site {
+/// A node and its only upstream.
+struct Fixture {
     node: NodeProcess,
     store: Store,
     upstream: Upstream,
 }
 
-impl Site {
+impl Fixture {
     fn start() -> Self {
         let store = Store::start();
         store.configure(5, &ROUTES);
@@ -51,7 +51,7 @@
     }
 
     fn is_served(&self) -> bool {
-        self.node.request("GET", "/safe/a", "id", 1_000).is_ok_and(|answer| answer.status() == 200)
+        self.node.request("GET", "/safe/a", "id", 1_000).is_ok_and(|response| response.status() == 200)
     }
 
     fn is_served_within(&self, time: Duration) -> bool {
@@ -67,36 +67,36 @@
 }
 
 #[gtest]
-fn an_upstream_that_starts_again_under_its_identity_gets_work_though_its_count_starts_anew() {
-    let site = Site::start();
-    site.list(FIRST_BORN_MS, "ready", 50);
-    site.node.until_ready();
-    expect_that!(site.is_served_within(WORK_WITHIN), eq(true));
-    site.list(FIRST_BORN_MS, "draining", 51);
-    eventually(|| !site.is_served());
-    site.list(SECOND_BORN_MS, "ready", 1);
-    expect_that!(site.is_served_within(WORK_WITHIN), eq(true));
+fn a_restarted_upstream_gets_requests_although_its_sequence_number_starts_over() {
+    let fixture = Fixture::start();
+    fixture.list(FIRST_START_MS, "ready", 50);
+    fixture.node.until_ready();
+    expect_that!(fixture.is_served_within(SERVED_WITHIN), eq(true));
+    fixture.list(FIRST_START_MS, "draining", 51);
+    eventually(|| !fixture.is_served());
+    fixture.list(SECOND_START_MS, "ready", 1);
+    expect_that!(fixture.is_served_within(SERVED_WITHIN), eq(true));
 }
 
 #[gtest]
-fn an_upstream_whose_entry_was_gone_gets_work_when_it_starts_again_under_its_identity() {
-    let site = Site::start();
-    site.list(FIRST_BORN_MS, "ready", 50);
-    site.node.until_ready();
-    expect_that!(site.is_served_within(WORK_WITHIN), eq(true));
-    site.store.remove("servers/i-0");
-    eventually(|| !site.is_served());
-    site.list(SECOND_BORN_MS, "ready", 1);
-    expect_that!(site.is_served_within(WORK_WITHIN), eq(true));
+fn a_restarted_upstream_whose_entry_had_been_removed_gets_requests() {
+    let fixture = Fixture::start();
+    fixture.list(FIRST_START_MS, "ready", 50);
+    fixture.node.until_ready();
+    expect_that!(fixture.is_served_within(SERVED_WITHIN), eq(true));
+    fixture.store.remove("servers/i-0");
+    eventually(|| !fixture.is_served());
+    fixture.list(SECOND_START_MS, "ready", 1);
+    expect_that!(fixture.is_served_within(SERVED_WITHIN), eq(true));
 }
 
 #[gtest]
-fn a_late_entry_of_a_former_life_changes_nothing() {
-    let site = Site::start();
-    site.list(SECOND_BORN_MS, "ready", 1);
-    site.node.until_ready();
-    expect_that!(site.is_served_within(WORK_WITHIN), eq(true));
-    site.list(FIRST_BORN_MS, "draining", 99);
-    thread::sleep(SETTLED);
-    expect_that!(site.is_served(), eq(true));
+fn a_late_entry_of_a_previous_incarnation_is_ignored() {
+    let fixture = Fixture::start();
+    fixture.list(SECOND_START_MS, "ready", 1);
+    fixture.node.until_ready();
+    expect_that!(fixture.is_served_within(SERVED_WITHIN), eq(true));
+    fixture.list(FIRST_START_MS, "draining", 99);
+    thread::sleep(SETTLE_TIME);
+    expect_that!(fixture.is_served(), eq(true));
 }
--- a/standins/tests/silent_connections.rs
+++ b/standins/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Open connections that go silent for good, with no reset, while new ones work.
+//! Open connections that stop delivering data without a reset, while new connections work.
 
 #[path = "soak/proxy.rs"]
 #[allow(dead_code)]
@@ -14,12 +14,12 @@
 
 const ROUTES: [(&str, &str, u64, &str); 2] =
     [("/safe/", "safe", 5_000, "app"), ("/unsafe/", "unsafe", 5_000, "app")];
-/// Time that callers give a request, in milliseconds.
+/// Deadline of a request, in milliseconds.
 const DEADLINE_MS: u64 = 2_000;
 const UPSTREAMS: usize = 3;
 
 /// A node that reaches its store and its upstreams through proxies.
-struct Site {
+struct Fixture {
     node: NodeProcess,
     store: Store,
     store_proxy: Proxy,
@@ -27,7 +27,7 @@
     upstream_proxies: Vec<Proxy>,
 }
 
-impl Site {
+impl Fixture {
     fn start() -> Self {
         let store = Store::start();
         store.configure(5, &ROUTES);
@@ -44,43 +44,43 @@
         Self { node, store, store_proxy, upstreams, upstream_proxies }
     }
 
-    /// The statuses of some requests.
-    fn call(&self, round: &str, method: &str, path: &str, count: usize) -> Vec<u16> {
-        let call = |number| {
+    /// Sends requests and returns their statuses; 0 for one without a response.
+    fn send(&self, round: &str, method: &str, path: &str, count: usize) -> Vec<u16> {
+        let send = |number| {
             let id = format!("{round}-{method}-{number}");
-            self.node.request(method, path, &id, DEADLINE_MS).map_or(0, |answer| answer.status())
+            self.node.request(method, path, &id, DEADLINE_MS).map_or(0, |response| response.status())
         };
-        (0..count).map(call).collect()
+        (0..count).map(send).collect()
     }
 }
 
 #[gtest]
-fn requests_are_served_though_all_kept_connections_to_upstreams_are_silent() {
-    let site = Site::start();
+fn requests_are_served_although_all_idle_connections_to_upstreams_are_silent() {
+    let fixture = Fixture::start();
     for round in 0..4 {
-        let warm = site.call(&format!("warm-{round}"), "GET", "/safe/a", 12);
-        expect_that!(warm, each(eq(&200)));
-        // Reports grow old, so that the silent connections are the first that are used.
+        let warm_up = fixture.send(&format!("warm-{round}"), "GET", "/safe/a", 12);
+        expect_that!(warm_up, each(eq(&200)));
+        // Load reports become stale, so that the next probes use the silent connections first.
         thread::sleep(Duration::from_millis(60));
-        site.upstream_proxies.iter().for_each(Proxy::silence_open);
-        let runs: usize = site.upstreams.iter().map(Upstream::runs).sum();
-        let unsafe_work = site.call(&format!("silent-{round}"), "POST", "/unsafe/a", 10);
-        expect_that!(unsafe_work, each(eq(&200)), "round {round}");
-        let safe_work = site.call(&format!("silent-{round}"), "GET", "/safe/a", 10);
-        expect_that!(safe_work, each(eq(&200)), "round {round}");
+        fixture.upstream_proxies.iter().for_each(Proxy::silence_open);
+        let runs_before: usize = fixture.upstreams.iter().map(Upstream::runs).sum();
+        let unsafe_requests = fixture.send(&format!("silent-{round}"), "POST", "/unsafe/a", 10);
+        expect_that!(unsafe_requests, each(eq(&200)), "round {round}");
+        let safe_requests = fixture.send(&format!("silent-{round}"), "GET", "/safe/a", 10);
+        expect_that!(safe_requests, each(eq(&200)), "round {round}");
         // A hedge may run a safe request twice.
-        let ran = site.upstreams.iter().map(Upstream::runs).sum::<usize>() - runs;
+        let ran = fixture.upstreams.iter().map(Upstream::runs).sum::<usize>() - runs_before;
         expect_that!(ran, all!(ge(20), le(30)));
     }
 }
 
 #[gtest]
-fn a_configuration_comes_into_force_though_the_connection_to_the_store_is_silent() {
-    let site = Site::start();
+fn a_configuration_is_applied_although_the_connection_to_the_store_is_silent() {
+    let fixture = Fixture::start();
     for version in 6..10 {
         let path = format!("/added-{version}/");
-        site.store_proxy.silence_open();
-        site.store.configure(version, &[(path.as_str(), "safe", 5_000, "app")]);
-        eventually(|| site.node.request("GET", &path, "id", DEADLINE_MS).is_ok_and(|a| a.status() == 200));
+        fixture.store_proxy.silence_open();
+        fixture.store.configure(version, &[(path.as_str(), "safe", 5_000, "app")]);
+        eventually(|| fixture.node.request("GET", &path, "id", DEADLINE_MS).is_ok_and(|a| a.status() == 200));
     }
 }
--- a/standins/tests/stalled_upstreams.rs
+++ b/standins/tests/stalled_upstreams.rs
@@ -1,6 +1,6 @@
-//! Upstreams that take no connections, or take requests and never answer, while others of their service have nothing to do.
+//! Upstreams that accept no connections, or accept requests and never respond, while others of their service are idle.
 //!
-//! The others answer probes late, as on a busy machine, so that no search finds an upstream that is known to be uncontended.
+//! The others response probes late, as on a busy machine, so that no search finds an upstream known to be uncontended.
 
 mod users_platform;
 
@@ -17,15 +17,15 @@
 
 const ROUTES: [(&str, &str, u64, &str); 2] =
     [("/safe/", "safe", 2_000, "app"), ("/unsafe/", "unsafe", 2_000, "app")];
-/// Time that callers give a request, in milliseconds.
+/// Deadline of a request, in milliseconds.
 const DEADLINE_MS: u64 = 2_000;
-/// Time after which the others answer a probe, in milliseconds: longer than a search waits for it.
-const PROBED_MS: u64 = 45;
+/// Time that the idle upstreams take to response a probe, in milliseconds: longer than a search waits.
+const PROBE_RESPONSE_MS: u64 = 45;
 
-/// Rest before each request: the load report of the last answer is old by then.
-const REST: Duration = Duration::from_millis(60);
+/// Interval between two requests: long enough for the load report of the last response to become stale.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Something that listens and takes no connections: those that it might have are taken already.
+/// A listener whose accept queue is full, so that no further connection is established.
 struct FullListener {
     address: SocketAddr,
     _socket: Socket,
@@ -38,7 +38,7 @@
         socket.bind(&SocketAddr::from((own_address(), 8_080)).into()).unwrap();
         socket.listen(0).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
-        // A queue of no length holds one.
+        // A backlog of 0 holds one connection.
         let connections = vec![TcpStream::connect(address).unwrap()];
         Self { address, _socket: socket, _connections: connections }
     }
@@ -47,26 +47,27 @@
 fn statuses(node: &NodeProcess, kind: &str, count: usize) -> Vec<u16> {
     let method = if kind == "safe" { "GET" } else { "POST" };
     let call = |number| {
-        thread::sleep(REST);
+        thread::sleep(REQUEST_INTERVAL);
         let path = format!("/{kind}/a");
         node.request(method, &path, &format!("{kind}-{number}"), DEADLINE_MS)
-            .map_or(0, |answer| answer.status())
+            .map_or(0, |response| response.status())
     };
     (0..count).map(call).collect()
 }
 
-/// A request that was refused as late for the time that an upstream took which could not be reached.
+/// Guards against a request being refused as late because of the time lost on unreachable upstreams.
 #[gtest]
-fn a_request_is_served_though_the_first_upstreams_take_no_connections() {
+fn a_request_is_served_although_some_upstreams_accept_no_connections() {
     let store = Store::start();
     store.configure(5, &ROUTES);
-    let good: Vec<Upstream> =
-        (0..2).map(|number| Upstream::start(&format!("i-{number}"), Manner::LateHealth(PROBED_MS))).collect();
-    good.iter().for_each(|upstream| store.list(upstream, "ready", 1));
+    let idle: Vec<Upstream> = (0..2)
+        .map(|number| Upstream::start(&format!("i-{number}"), Manner::SlowProbes(PROBE_RESPONSE_MS)))
+        .collect();
+    idle.iter().for_each(|upstream| store.list(upstream, "ready", 1));
     let full: Vec<FullListener> = (0..4).map(|_| FullListener::start()).collect();
     for (number, listener) in full.iter().enumerate() {
-        let gone = Upstream::start(&format!("full-{number}"), Manner::Well);
-        store.list_at(&gone, listener.address, "ready", 1);
+        let unreachable = Upstream::start(&format!("full-{number}"), Manner::Well);
+        store.list_at(&unreachable, listener.address, "ready", 1);
     }
     let node = NodeProcess::start(&store);
     node.until_ready();
@@ -74,9 +75,10 @@
     expect_that!(statuses(&node, "unsafe", 12), each(eq(&200)));
 }
 
-/// A request that waited for a silent upstream until its deadline, since the one moment at which a hedge was considered found no uncontended one.
+/// Guards against a hedge being considered only once: if no uncontended upstream is known at that moment, the request
+/// would wait for the silent upstream until its deadline.
 #[gtest]
-fn a_request_that_waits_for_a_silent_upstream_is_hedged_as_long_as_there_is_time() {
+fn a_request_waiting_for_a_silent_upstream_is_hedged_before_its_deadline() {
     let store = Store::start();
     store.configure(5, &ROUTES);
     let start = |number, manner| {
@@ -84,11 +86,11 @@
         store.list(&upstream, "ready", 1);
         upstream
     };
-    let _good = start(0, Manner::LateHealth(PROBED_MS));
+    let _idle = start(0, Manner::SlowProbes(PROBE_RESPONSE_MS));
     let silent = start(1, Manner::Well);
     let node = NodeProcess::start(&store);
     node.until_ready();
-    // Requests earn the budget of which a hedge takes.
+    // Requests fill the hedge budget.
     expect_that!(statuses(&node, "safe", 40), each(eq(&200)));
     silent.set(Manner::Silent);
     expect_that!(statuses(&node, "safe", 16), each(eq(&200)));
--- a/standins/tests/thin_links.rs
+++ b/standins/tests/thin_links.rs
@@ -1,4 +1,4 @@
-//! A node whose link carries few bytes a second, and a configuration that takes longer to come than any time-out.
+//! A node on a low-bandwidth link, and a configuration that takes longer to transfer than any time-out.
 
 mod users_platform;
 
@@ -16,16 +16,16 @@
         thread,
         time::Duration,
     },
-    users_platform::{HOST, Log, NodeProcess, Store, eventually, own_address, write_thinly},
+    users_platform::{HOST, Log, NodeProcess, Store, eventually, own_address, write_throttled},
 };
 
-/// What a link of 10 Mbit/s carries, in bytes a second.
-const THIN_BYTES_PER_S: u64 = 1_250_000;
-/// Routes of a large configuration: in the platform's form it takes a second on such a link.
+/// Bandwidth of a link of 10 Mbit/s, in bytes per second.
+const BANDWIDTH_BYTES_PER_S: u64 = 1_250_000;
+/// Routes of a large configuration: encoded in the platform's format it takes a second on such a link.
 const ROUTES: usize = 5_000;
-/// Pause within an answer. Not measured: a lost segment is sent again after some 200 ms.
+/// Pause within a response: longer than the retransmission of a lost TCP segment, which takes about 200 ms.
 const PAUSE: Duration = Duration::from_millis(300);
-/// Port on which nodes of these tests answer queries.
+/// Port on which nodes response queries of their peers.
 const QUERY_PORT: u16 = 7_660;
 
 fn path(number: usize) -> String {
@@ -38,83 +38,84 @@
     store.configure(version, &routes);
 }
 
-/// Waits until a node knows its last route; without an upstream it answers 503 then, before that 404 or 503.
-fn until_it_knows(node: &NodeProcess, routes: usize) {
+/// Waits until a node serves the last route: it has no upstream and responses 503; until then it is not ready or responses
+/// 404.
+fn until_routes_known(node: &NodeProcess, routes: usize) {
     node.until_ready();
     let path = path(routes - 1);
-    eventually(|| node.request("GET", &path, "1", 1_000).is_ok_and(|answer| answer.status() == 503));
+    eventually(|| node.request("GET", &path, "1", 1_000).is_ok_and(|response| response.status() == 503));
 }
 
 #[gtest]
-fn a_large_configuration_comes_over_a_thin_link_from_the_platform_and_from_a_peer() {
-    from_the_platform();
-    from_a_peer();
+fn a_large_configuration_is_transferred_over_a_slow_link_from_the_platform_and_from_a_peer() {
+    learn_over_slow_link_from_platform();
+    learn_over_slow_link_from_peer();
 }
 
-fn from_the_platform() {
+fn learn_over_slow_link_from_platform() {
     let store = Store::start();
     publish(&store, 5, 1);
     let node = NodeProcess::start(&store);
     node.until_ready();
-    store.send_thinly(THIN_BYTES_PER_S);
+    store.limit_bandwidth(BANDWIDTH_BYTES_PER_S);
     publish(&store, 6, ROUTES);
-    until_it_knows(&node, ROUTES);
-    // A node that starts must read it as well.
+    until_routes_known(&node, ROUTES);
+    // A node that starts over the same link must be able to read it too.
     let second = NodeProcess::start(&store);
-    until_it_knows(&second, ROUTES);
+    until_routes_known(&second, ROUTES);
 }
 
 #[gtest]
-fn of_a_burst_of_large_configurations_the_newest_is_read_and_not_each() {
+fn of_a_burst_of_large_configurations_the_newest_is_read() {
     let store = Store::start();
     publish(&store, 5, 1);
     let node = NodeProcess::start(&store);
     node.until_ready();
     let range_calls = store.range_calls();
-    store.send_thinly(THIN_BYTES_PER_S);
+    store.limit_bandwidth(BANDWIDTH_BYTES_PER_S);
     for version in 6..16 {
         publish(&store, version, ROUTES);
     }
-    until_it_knows(&node, ROUTES);
+    until_routes_known(&node, ROUTES);
     expect_that!(store.range_calls(), gt(range_calls));
 }
 
-fn from_a_peer() {
-    learn_from_a_peer(|stream, answer| write_thinly(stream, answer, THIN_BYTES_PER_S));
+fn learn_over_slow_link_from_peer() {
+    learn_from_a_peer(|stream, response| write_throttled(stream, response, BANDWIDTH_BYTES_PER_S));
 }
 
 #[gtest]
-fn a_pause_in_the_middle_of_a_peers_answer_does_not_break_it() {
-    learn_from_a_peer(|stream, answer| {
-        let (first, rest) = answer.split_at(answer.len() / 2);
+fn a_pause_within_a_response_of_a_peer_does_not_abort_it() {
+    learn_from_a_peer(|stream, response| {
+        let (first, rest) = response.split_at(response.len() / 2);
         stream.write_all(first)?;
         thread::sleep(PAUSE);
         stream.write_all(rest)
     });
 }
 
-/// A node that can learn the configuration from a peer alone, which writes its answers so.
+/// Starts a node that can learn the configuration only from a peer, which sends its responses with `write`.
 fn learn_from_a_peer(write: impl Fn(&mut TcpStream, &[u8]) -> io::Result<()> + Send + 'static) {
     let peer = own_address();
     serve_state(peer, write);
-    let nowhere = SocketAddr::from((own_address(), 8_142));
-    let node = NodeProcess::start_at(own_address(), nowhere, &[peer], Log::File);
-    until_it_knows(&node, ROUTES);
+    let unreachable = SocketAddr::from((own_address(), 8_142));
+    let node = NodeProcess::start_at(own_address(), unreachable, &[peer], Log::File);
+    until_routes_known(&node, ROUTES);
 }
 
-/// Plays a peer that knows a large configuration and writes its answers to queries so.
+/// Acts as a peer that knows a large configuration and sends its responses to queries with `write`.
 fn serve_state(address: Ipv4Addr, write: impl Fn(&mut TcpStream, &[u8]) -> io::Result<()> + Send + 'static) {
     let listener = TcpListener::bind((address, QUERY_PORT)).unwrap();
     let mark = ReadMark { revision: 50, version: 6 };
     let configuration = ConfigurationUpdate::Whole(Box::new(large_configuration()));
     let reply = StateReply::new(mark, 0, true, Vec::<Change>::new(), Some(configuration));
     let offer = codec::frame(&StateOffer::State { age_ms: 0 }).unwrap();
-    let answer = [offer, codec::packed_frame(&reply).unwrap()].concat();
+    let response = [offer, codec::packed_frame(&reply).unwrap()].concat();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let Ok(_) = codec::read_frame::<StateRequest>(&mut stream) else { continue };
-            // The node may give the exchange up.
-            _ = write(&mut stream, &answer);
+            // The node may abort the exchange.
+            _ = write(&mut stream, &response);
         }
     });
 }
--- a/standins/tests/users_platform/manner.rs
+++ b/standins/tests/users_platform/manner.rs
@@ -1,63 +1,64 @@
-//! How a stand-in for an upstream behaves.
+//! Behaviour of a stand-in upstream.
 
 use super::message::Message;
 
-/// How an upstream answers requests; it always answers questions about its health.
+/// How an upstream responds to requests. Health probes are answered in every case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Manner {
-    /// A whole answer.
+    /// A complete response.
     Well,
-    /// A whole answer after this many milliseconds.
+    /// A complete response after this many milliseconds.
     After(u64),
-    /// It runs the request and closes with no answer.
+    /// Runs the request and closes the connection without a response.
     LoseAnswer,
-    /// It runs the request and answers with another request's id.
+    /// Runs the request and responds with the id of another request.
     OtherId,
-    /// It says that it is full and did not run the request.
+    /// Rejects the request with 503 and says that it did not run.
     Shed,
-    /// It says 503 but not that it did not run the request.
+    /// Responds with 503 without saying that the request did not run.
     Bare503,
-    /// It says that it is another upstream.
+    /// Responds that it is another upstream (421).
     Misdirected,
-    /// It tells a length and closes before that.
+    /// Announces a length and closes the connection before that many bytes.
     CutShort,
-    /// A whole answer, and another one behind it.
+    /// A complete response followed by a second one.
     Surplus,
-    /// It runs the request and never answers.
+    /// Runs the request and never responds.
     Silent,
-    /// It answers well and tells nothing of its load.
-    TellsNothing,
-    /// It answers requests well, and questions about its health only after so many milliseconds.
-    LateHealth(u64),
-    /// It answers well, and says that it is cold for another minute.
+    /// A complete response without a load report.
+    NoLoadReport,
+    /// A complete response; health probes are answered only after this many milliseconds.
+    SlowProbes(u64),
+    /// A complete response; reports to probes that it is cold for another minute.
     Cold,
-    /// It turns requests away and asks for a pause of so many milliseconds; it reports itself idle all the while.
+    /// Rejects requests and asks for a pause of this many milliseconds while reporting itself idle.
     AskForPause(u64),
-    /// The same, so many milliseconds after the request came, whether or not anybody waits for the answer by then. Only a pause that is asked for on a
-    /// connection that still stands is kept in its record.
+    /// As [`Self::AskForPause`], but `after_ms` milliseconds after the request arrived, whether or not the connection is
+    /// still open by then. Only a pause requested on an open connection is recorded.
     AskForPauseLate { pause_ms: u64, after_ms: u64 },
-    /// The same, when the time that the request was given is over.
+    /// As [`Self::AskForPauseLate`], shortly after the deadline of the request; the value is the pause in milliseconds.
     AskForPauseAtDeadline(u64),
-    /// It answers well, and says in each answer that it is leaving.
+    /// A complete response that announces that the upstream is leaving.
     SayLeaving,
-    /// It answers well, and names in each answer how many requests it takes from all nodes in a thousand seconds.
+    /// A complete response that announces how many requests per 1000 s the upstream accepts from all nodes together.
     NameLimit { per_1000_s: u32 },
-    /// It answers well, but resets a connection that has rested when the next bytes come.
+    /// A complete response; resets a connection that was idle when the next bytes arrive.
     ForgetIdle,
-    /// The same, and it tells nothing of its load.
-    ForgetIdleSilently,
+    /// As [`Self::ForgetIdle`], without a load report.
+    ForgetIdleWithoutLoadReport,
 }
 
-/// Time after the deadline at which work is turned away that was held until then, in milliseconds: after whoever sent it has given it up.
-const LATE_MS: u64 = 10;
+/// Time after the deadline at which a request held until then is rejected, in milliseconds: the sender has given up by
+/// then.
+const AFTER_DEADLINE_MS: u64 = 10;
 
 impl Manner {
-    /// The manner in which one request is answered: what rests on the time that it was given is resolved.
+    /// Resolves the behaviour for one request: replaces a variant that depends on the deadline by one with a fixed delay.
     pub fn for_request(self, request: &Message) -> Self {
         match self {
             Self::AskForPauseAtDeadline(pause_ms) => {
-                let given_ms = request.header("pointvane-deadline-ms").and_then(|text| text.parse().ok());
-                Self::AskForPauseLate { pause_ms, after_ms: given_ms.unwrap_or(0) + LATE_MS }
+                let deadline_ms = request.header("pointvane-deadline-ms").and_then(|text| text.parse().ok());
+                Self::AskForPauseLate { pause_ms, after_ms: deadline_ms.unwrap_or(0) + AFTER_DEADLINE_MS }
             }
             other => other,
         }
--- a/standins/tests/users_platform/message.rs
+++ b/standins/tests/users_platform/message.rs
@@ -1,14 +1,14 @@
-//! HTTP messages as the tests read and write them.
+//! Minimal HTTP/1.1 messages for the tests.
 
 use {
-    super::{HOST, PATIENCE},
+    super::{HOST, WAIT_TIMEOUT},
     std::{
         io::{self, BufRead, BufReader, Write},
         net::{SocketAddr, TcpStream},
     },
 };
 
-/// A message as it was read: its first line, its headers in lower case, its body.
+/// A parsed message: first line, headers with lower-case names, and body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub first_line: String,
@@ -59,13 +59,13 @@
     loop {
         let mut line = String::new();
         reader.read_line(&mut line)?;
-        let size = usize::from_str_radix(line.trim(), 16).map_err(|_| io::ErrorKind::InvalidData)?;
-        let mut chunk = vec![0; size + 2];
+        let chunk_size = usize::from_str_radix(line.trim(), 16).map_err(|_| io::ErrorKind::InvalidData)?;
+        let mut chunk = vec![0; chunk_size + 2];
         reader.read_exact(&mut chunk)?;
-        if size == 0 {
+        if chunk_size == 0 {
             return Ok(body);
         }
-        body.extend_from_slice(&chunk[..size]);
+        body.extend_from_slice(&chunk[..chunk_size]);
     }
 }
 
@@ -78,7 +78,7 @@
 
 pub fn call(address: SocketAddr, head: &str) -> io::Result<Message> {
     let mut stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
     stream.write_all(head.as_bytes())?;
     read_message(&mut BufReader::new(stream))
 }
--- a/standins/tests/users_platform/mod.rs
+++ b/standins/tests/users_platform/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on loopback for the platform's store and for upstreams, and a node as a real process.
+//! Stand-ins on loopback for the platform's store and for upstreams, and a node running as a process.
 #![allow(dead_code, unused_imports)]
 
 mod addresses;
@@ -16,8 +16,8 @@
     manner::Manner,
     message::{Message, call, read_message, request_head},
     node::{Log, NodeProcess, Options},
-    store::{Account, Life, Store, Terms},
-    thin_link::write_thinly,
+    store::{Account, ConfigurationOptions, Life, Store},
+    thin_link::write_throttled,
     upstream::Upstream,
 };
 
@@ -26,19 +26,19 @@
     time::{Duration, Instant},
 };
 
-/// The host that routes in these tests are of.
+/// Host of all routes in these tests.
 pub const HOST: &str = "app.example";
-/// The header by which an upstream marks its own answers.
+/// Header by which an upstream marks its own responses.
 pub const STAMP: &str = "pointvane-response-stamp";
-/// Longest time for which a test waits for anything.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time that a test waits for anything.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something holds; fails when it never does.
+/// Polls until a condition holds; panics after [`WAIT_TIMEOUT`].
 #[track_caller]
-pub fn eventually(mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < until, "never came true");
+pub fn eventually(mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < until, "condition not met in time");
         thread::sleep(Duration::from_millis(10));
     }
 }
--- a/standins/tests/users_platform/node.rs
+++ b/standins/tests/users_platform/node.rs
@@ -1,4 +1,4 @@
-//! A node as a real process.
+//! A node running as a process.
 
 use {
     super::{
@@ -19,18 +19,18 @@
 const READY_PORT: u16 = 8_140;
 const DIRECTORY_PORT: u16 = 8_143;
 
-/// The program, as `cargo test --workspace` or `cargo build --workspace` built it last.
-fn program() -> PathBuf {
+/// Path of the program as last built by `cargo test --workspace` or `cargo build --workspace`.
+fn program_path() -> PathBuf {
     let tests = std::env::current_exe().unwrap();
     tests.parent().unwrap().parent().unwrap().join("pointvane-platform-node")
 }
 
-/// What becomes of the lines that a node writes.
+/// Destination of the log lines of a node.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Log {
-    /// They go to a file.
+    /// Log lines go to a file.
     File,
-    /// All lines go to a pipe that nobody reads.
+    /// All log lines go to a pipe that nobody reads.
     NeverRead,
 }
 
@@ -39,15 +39,15 @@
 pub struct Options {
     /// The address at which the node listens for other nodes, if it is not the advertised one.
     pub bound: Option<Ipv4Addr>,
-    /// Whether each request is told in lines.
+    /// Whether every request is logged.
     pub all_lines: bool,
-    /// Requests of one connection that are under way at once.
+    /// Maximum number of concurrent requests of one connection.
     pub pipeline_requests: Option<usize>,
-    /// Time after the start until which requests are held, in milliseconds.
+    /// Maximum time that requests wait for the node to start, in milliseconds.
     pub start_wait_ms: Option<u64>,
 }
 
-/// A node as a real process; it is killed when dropped.
+/// A node running as a process, which is killed on drop.
 pub struct NodeProcess {
     pub ip: Ipv4Addr,
     child: Child,
@@ -55,7 +55,7 @@
     pub output: PathBuf,
 }
 
-/// Options by which each request is told in lines.
+/// Options that have every request logged.
 const ALL_LINES: &str = "[lines]\nwell_every = 1\nwrong_per_s = 100000\nbeliefs_per_s = 100000\n";
 
 fn settings_text(ip: Ipv4Addr, store: SocketAddr, seeds: &[Ipv4Addr]) -> String {
@@ -114,17 +114,17 @@
         Self::start_at(own_address(), store.address, seeds, log)
     }
 
-    /// A node at an address; it may have run there before.
+    /// Starts a node at an address, which an earlier node may have used.
     pub fn start_at(ip: Ipv4Addr, store: SocketAddr, seeds: &[Ipv4Addr], log: Log) -> Self {
         Self::launch(ip, Options::default(), store, seeds, log)
     }
 
-    /// A node with options of its own.
+    /// Starts a node with the given options.
     pub fn start_with_options(store: &Store, options: Options) -> Self {
         Self::launch(own_address(), options, store.address, &[], Log::File)
     }
 
-    /// A node that advertises one address to the other nodes and listens for them at another.
+    /// Starts a node that advertises one address to the other nodes and listens for them at another.
     pub fn start_bound(
         advertised: Ipv4Addr,
         bound: Ipv4Addr,
@@ -137,17 +137,17 @@
     }
 
     fn launch(ip: Ipv4Addr, options: Options, store: SocketAddr, seeds: &[Ipv4Addr], log: Log) -> Self {
-        let folder = std::env::temp_dir().join(format!("pointvane-{ip}"));
-        fs::create_dir_all(&folder).unwrap();
-        let settings = folder.join("boot.toml");
+        let directory_path = std::env::temp_dir().join(format!("pointvane-{ip}"));
+        fs::create_dir_all(&directory_path).unwrap();
+        let settings = directory_path.join("boot.toml");
         fs::write(&settings, settings_text(ip, store, seeds)).unwrap();
-        let output = folder.join("stdout");
-        let mut command = Command::new(program());
+        let output = directory_path.join("stdout");
+        let mut command = Command::new(program_path());
         command.env("POINTVANE_BOOT", &settings).stderr(Stdio::inherit());
         let all_lines = options.all_lines || log == Log::NeverRead;
         let options = options_text(&Options { all_lines, ..options });
         if !options.is_empty() {
-            let file = folder.join("options.toml");
+            let file = directory_path.join("options.toml");
             fs::write(&file, options).unwrap();
             command.arg("--options").arg(file);
         }
@@ -179,7 +179,7 @@
         (self.ip, TRAFFIC_PORT).into()
     }
 
-    /// One request on a connection of its own.
+    /// Sends a request on a new connection.
     pub fn request(&self, method: &str, path: &str, id: &str, deadline_ms: u64) -> io::Result<Message> {
         call(self.traffic(), &request_head(method, path, id, deadline_ms))
     }
@@ -198,7 +198,7 @@
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for the process to end; its exit code.
+    /// Waits for the process to end and returns its exit code.
     pub fn ended(&mut self) -> Option<i32> {
         let mut code = None;
         eventually(|| match self.child.try_wait() {
--- a/standins/tests/users_platform/process.rs
+++ b/standins/tests/users_platform/process.rs
@@ -1,4 +1,4 @@
-//! The life of a stand-in's process: what it listens at, its connections, and its crash.
+//! Simulates the process of a stand-in: its listener, its connections and its crash.
 
 use {
     socket2::SockRef,
@@ -14,22 +14,22 @@
     listener: Option<Arc<TcpListener>>,
     connections: HashMap<u64, Arc<TcpStream>>,
     opened: u64,
-    crashes_on: Option<String>,
+    crash_path: Option<String>,
 }
 
-/// What ends when a stand-in crashes.
+/// Listener and connections of a stand-in, which are closed when it crashes.
 #[derive(Clone, Default)]
-pub struct Process {
+pub struct SimulatedProcess {
     state: Arc<Mutex<State>>,
 }
 
-impl Process {
-    pub fn started(&self, listener: Arc<TcpListener>) {
+impl SimulatedProcess {
+    pub fn set_listener(&self, listener: Arc<TcpListener>) {
         self.state.lock().unwrap().listener = Some(listener);
     }
 
-    /// Takes note of a connection for as long as the guard lives; a reference that stayed would keep it open.
-    pub fn opened(&self, connection: Arc<TcpStream>) -> OpenConnection {
+    /// Tracks a connection until the guard is dropped; a reference that remained would keep the connection open.
+    pub fn track_connection(&self, connection: Arc<TcpStream>) -> OpenConnection {
         let mut state = self.state.lock().unwrap();
         state.opened += 1;
         let number = state.opened;
@@ -38,27 +38,27 @@
     }
 
     pub fn crash_on(&self, path: &str) {
-        self.state.lock().unwrap().crashes_on = Some(path.into());
+        self.state.lock().unwrap().crash_path = Some(path.into());
     }
 
-    pub fn crashes_under(&self, target: &str) -> bool {
+    pub fn is_crash_target(&self, target: &str) -> bool {
         let path = target.split('?').next();
-        self.state.lock().unwrap().crashes_on.as_deref() == path
+        self.state.lock().unwrap().crash_path.as_deref() == path
     }
 
     pub fn is_down(&self) -> bool {
         self.state.lock().unwrap().listener.is_none()
     }
 
-    /// Whether it is this listener that it listens at now.
-    pub fn listens_at(&self, listener: &Arc<TcpListener>) -> bool {
+    /// Whether this is the current listener.
+    pub fn is_current_listener(&self, listener: &Arc<TcpListener>) -> bool {
         self.state.lock().unwrap().listener.as_ref().is_some_and(|current| Arc::ptr_eq(current, listener))
     }
 
-    /// Nobody listens from here on; only then do the connections close, as when a process ends.
+    /// Closes the listener and then all connections, in the order in which an ending process closes them.
     pub fn crash(&self) {
         let mut state = self.state.lock().unwrap();
-        // What is closed already cannot be shut down again.
+        // The shutdown of a socket that is already closed fails; the error is ignored.
         if let Some(listener) = state.listener.take() {
             _ = SockRef::from(&*listener).shutdown(Shutdown::Both);
         }
@@ -66,9 +66,9 @@
     }
 }
 
-/// A connection that ends with the process.
+/// Guard of a tracked connection.
 pub struct OpenConnection {
-    process: Process,
+    process: SimulatedProcess,
     number: u64,
 }
 
--- a/standins/tests/users_platform/store.rs
+++ b/standins/tests/users_platform/store.rs
@@ -1,11 +1,11 @@
-//! A stand-in for the platform's store.
+//! A stand-in for the key-value store of the platform.
 
 use {
     super::{
         HOST,
         message::{Message, read_message},
         own_address,
-        thin_link::write_thinly,
+        thin_link::write_throttled,
         upstream::Upstream,
     },
     base64::{Engine, engine::general_purpose::STANDARD},
@@ -21,8 +21,9 @@
     },
 };
 
-/// What the store holds; changes are kept as events. Items and events are kept as they are sent, and answers are joined of them without the lock: a
-/// configuration of 2,110 routes that was published 28 times and encoded for each reader under it kept 40 nodes waiting for up to 8.0 s.
+/// Items of the store, and its changes as events. Both are kept in encoded form, and responses are assembled without
+/// holding the lock: encoding a configuration of 2,110 routes, published 28 times, for each reader under the lock made
+/// 40 nodes wait for up to 8.0 s.
 #[derive(Default)]
 struct Stored {
     revision: u64,
@@ -30,13 +31,13 @@
     events: Vec<(u64, Arc<str>)>,
 }
 
-/// What a configuration says of its routes and services besides where they lead.
-pub struct Terms {
+/// Properties of a configuration besides its routes.
+pub struct ConfigurationOptions {
     /// Target latency of each route, in milliseconds.
     pub target_latency_ms: u64,
-    /// Requests a second that a cold upstream of the service bears; 0 for no bound.
+    /// Requests per second that a cold upstream of the service accepts; 0 for no limit.
     pub cold_per_s: f64,
-    /// The client accounts; none where callers need no key.
+    /// Client accounts; none if callers need no key.
     pub accounts: Option<Vec<Account>>,
 }
 
@@ -45,7 +46,7 @@
 pub struct Account {
     pub name: &'static str,
     pub keys: Vec<&'static str>,
-    /// Requests a second; 0 for no limit.
+    /// Requests per second; 0 for no limit.
     pub rate_per_s: f64,
     pub burst: u32,
 }
@@ -61,30 +62,30 @@
     }
 }
 
-/// What an entry says of a life of its upstream.
+/// Identifies an incarnation of an upstream in its entry.
 pub struct Life {
-    /// Count of its updates.
+    /// Sequence number of the update.
     pub sequence: u64,
-    /// Its start, in Unix milliseconds; none for an entry that does not tell it.
+    /// Start time in Unix milliseconds; none to leave it out of the entry.
     pub born_ms: Option<u64>,
 }
 
-impl Default for Terms {
+impl Default for ConfigurationOptions {
     fn default() -> Self {
         Self { target_latency_ms: 200, cold_per_s: 0.0, accounts: None }
     }
 }
 
-/// A stand-in for the platform's store.
+/// A stand-in for the key-value store of the platform.
 #[derive(Clone)]
 pub struct Store {
     pub address: SocketAddr,
     stored: Arc<(Mutex<Stored>, Condvar)>,
-    /// Bytes that an answer carries each second; 0 for as many as loopback takes.
+    /// Bandwidth of responses in bytes per second; 0 for no limit.
     bytes_per_s: Arc<AtomicU64>,
-    /// Calls that read everything.
+    /// Number of calls that read all items.
     range_calls: Arc<AtomicU64>,
-    /// Longest time that an answer took to make, the wait of a watch not included, in microseconds.
+    /// Longest time that a response took to assemble, without the wait of a watch, in microseconds.
     slowest_us: Arc<AtomicU64>,
 }
 
@@ -108,40 +109,40 @@
         store
     }
 
-    /// Sends answers at so many bytes a second from now on.
-    pub fn send_thinly(&self, bytes_per_s: u64) {
+    /// Limits the bandwidth of responses from now on; 0 for no limit.
+    pub fn limit_bandwidth(&self, bytes_per_s: u64) {
         self.bytes_per_s.store(bytes_per_s, Ordering::Relaxed);
     }
 
-    /// How often everything was read.
+    /// Number of calls that read all items.
     pub fn range_calls(&self) -> u64 {
         self.range_calls.load(Ordering::Relaxed)
     }
 
-    /// Longest time that an answer took to make, the wait of a watch not included.
+    /// Longest time that a response took to assemble, without the wait of a watch.
     pub fn slowest(&self) -> Duration {
         Duration::from_micros(self.slowest_us.load(Ordering::Relaxed))
     }
 
-    /// Forgets all that it holds, for good: its threads outlive the test.
+    /// Drops all items and events: the threads of the store outlive the test and would keep them in memory.
     pub fn clear(&self) {
         *self.stored.0.lock().unwrap() = Stored::default();
     }
 
     pub fn put(&self, key: &str, value: &str) {
         let value = STANDARD.encode(value);
-        self.change(key, Kept::Item, |revision| {
+        self.change(key, ItemState::Present, |revision| {
             format!(r#"{{"tls-key":"{key}","value":"{value}","revision":{revision},"made":1,"lease":0}}"#)
         });
     }
 
-    /// Lists so many upstreams that nobody reaches.
+    /// Lists upstreams with unreachable addresses.
     pub fn list_unreachable(&self, count: usize) {
         let mut stored = self.stored.0.lock().unwrap();
         for number in 0..count {
             stored.revision += 1;
             let revision = stored.revision;
-            // As different as names of upstreams are.
+            // Spreads the ids like real ones, which share no long prefixes.
             let id = format!("i-{:010x}", (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24);
             let (high, low) = (number / 250, number % 250);
             let value = STANDARD.encode(format!(
@@ -163,38 +164,47 @@
     }
 
     pub fn remove(&self, key: &str) {
-        self.change(key, Kept::Nothing, |revision| {
+        self.change(key, ItemState::Removed, |revision| {
             format!(r#"{{"tls-key":"{key}","revision":{revision},"gone":true}}"#)
         });
     }
 
-    /// Takes a change of an item, as it is sent.
-    fn change(&self, key: &str, kept: Kept, rendered: impl FnOnce(u64) -> String) {
+    /// Applies a change of an item and records it in encoded form.
+    fn change(&self, key: &str, item_state: ItemState, encode: impl FnOnce(u64) -> String) {
         let mut stored = self.stored.0.lock().unwrap();
         stored.revision += 1;
         let revision = stored.revision;
-        let change: Arc<str> = rendered(revision).into();
-        stored.items.retain(|(held, _)| held != key);
-        if kept == Kept::Item {
+        let change: Arc<str> = encode(revision).into();
+        stored.items.retain(|(existing, _)| existing != key);
+        if item_state == ItemState::Present {
             stored.items.push((key.into(), Arc::clone(&change)));
         }
         stored.events.push((revision, change));
         self.stored.1.notify_all();
     }
 
-    /// Publishes a configuration: routes as path, kind, time-out and service.
+    /// Publishes a configuration with routes given as path, kind, time-out in milliseconds and service.
     pub fn configure(&self, version: u64, routes: &[(&str, &str, u64, &str)]) {
         self.configure_cold(version, routes, 0.0);
     }
 
-    /// The same, with the requests a second that a cold upstream of the service bears.
+    /// Publishes a configuration with a limit of requests per second for each cold upstream.
     pub fn configure_cold(&self, version: u64, routes: &[(&str, &str, u64, &str)], cold_per_s: f64) {
-        self.configure_on(version, routes, &Terms { cold_per_s, ..Terms::default() });
+        self.configure_with(
+            version,
+            routes,
+            &ConfigurationOptions { cold_per_s, ..ConfigurationOptions::default() },
+        );
     }
 
-    /// The same, on terms of its own.
-    pub fn configure_on(&self, version: u64, routes: &[(&str, &str, u64, &str)], terms: &Terms) {
-        let Terms { target_latency_ms, cold_per_s, accounts } = terms;
+    /// Publishes a configuration with the given options.
+    pub fn configure_with(
+        &self,
+        version: u64,
+        routes: &[(&str, &str, u64, &str)],
+        options: &ConfigurationOptions,
+    ) {
+        let ConfigurationOptions { target_latency_ms, cold_per_s, accounts } = options;
         let route = |(path, kind, timeout_ms, service): &(&str, &str, u64, &str)| {
             format!(
                 r#"{{"name":"r{path}","host":"{HOST}","path-prefix":"{path}","type":"{kind}","timeout-ms":{timeout_ms},"target-latency-ms":{target_latency_ms},"priority":1,"service":"{service}","max-attempts":2}}"#
@@ -218,17 +228,17 @@
         self.list_at(upstream, upstream.address, state, sequence);
     }
 
-    /// Lists an upstream that is reached at another address than its own.
+    /// Lists an upstream under an address other than its own, such as that of a proxy.
     pub fn list_at(&self, upstream: &Upstream, address: SocketAddr, state: &str, sequence: u64) {
         self.list_with(upstream, address, "one", state, sequence);
     }
 
-    /// Lists an upstream of a data centre.
+    /// Lists an upstream in a data centre.
     pub fn list_in(&self, upstream: &Upstream, zone: &str) {
         self.list_with(upstream, upstream.address, zone, "ready", 1);
     }
 
-    /// Lists an upstream with all that its entry says.
+    /// Lists an upstream with address, data centre, state and sequence number.
     pub fn list_with(
         &self,
         upstream: &Upstream,
@@ -240,7 +250,7 @@
         self.list_life(upstream, address, zone, state, &Life { sequence, born_ms: None });
     }
 
-    /// The same, with the start of its life.
+    /// As [`Self::list_with`], with the start time of the incarnation.
     pub fn list_life(&self, upstream: &Upstream, address: SocketAddr, zone: &str, state: &str, life: &Life) {
         let sequence = life.sequence;
         let born = life.born_ms.map(|born_ms| format!(r#""born":{born_ms},"#)).unwrap_or_default();
@@ -252,12 +262,12 @@
         );
     }
 
-    /// Asks that the upstreams of a data centre get no new work.
+    /// Requests the evacuation of a data centre: its upstreams get no new requests.
     pub fn evacuate(&self, zone: &str) {
         self.put(&format!("op/evacuate/{zone}"), "{}");
     }
 
-    /// Takes that back.
+    /// Ends the evacuation of a data centre.
     pub fn take_back(&self, zone: &str) {
         self.remove(&format!("op/evacuate/{zone}"));
     }
@@ -267,13 +277,13 @@
         let mut reader = BufReader::new(stream.try_clone()?);
         loop {
             let request = read_message(&mut reader)?;
-            let body = self.answer(request.target());
-            let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-            write_thinly(&mut stream, answer.as_bytes(), self.bytes_per_s.load(Ordering::Relaxed))?;
+            let body = self.respond(request.target());
+            let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+            write_throttled(&mut stream, response.as_bytes(), self.bytes_per_s.load(Ordering::Relaxed))?;
         }
     }
 
-    fn answer(&self, target: &str) -> String {
+    fn respond(&self, target: &str) -> String {
         let query = |name: &str| {
             let pairs = target.split_once('?').map_or("", |(_, query)| query).split('&');
             pairs
@@ -283,7 +293,7 @@
         };
         let number = |name: &str| query(name).and_then(|value| value.parse::<u64>().ok()).unwrap_or_default();
         let (lock, changed) = &*self.stored;
-        let mut working = Working { since: Instant::now(), slowest_us: &self.slowest_us };
+        let mut timer = ResponseTimer { since: Instant::now(), slowest_us: &self.slowest_us };
         let mut stored = lock.lock().unwrap();
         if target.starts_with("/kv-range") {
             self.range_calls.fetch_add(1, Ordering::Relaxed);
@@ -297,7 +307,7 @@
         while stored.revision <= after && Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now());
             stored = changed.wait_timeout(stored, left).unwrap().0;
-            working.since = Instant::now();
+            timer.since = Instant::now();
         }
         let events = stored.events.iter().filter(|(revision, _)| *revision > after);
         let events: Vec<Arc<str>> = events.map(|(_, event)| Arc::clone(event)).collect();
@@ -307,20 +317,20 @@
     }
 }
 
-/// What a change leaves behind.
+/// State of an item after a change.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kept {
-    Item,
-    Nothing,
+enum ItemState {
+    Present,
+    Removed,
 }
 
-/// An answer that is being made; its time is noted when it is dropped.
-struct Working<'s> {
+/// Measures the time that a response takes to assemble and records the maximum on drop.
+struct ResponseTimer<'s> {
     since: Instant,
     slowest_us: &'s AtomicU64,
 }
 
-impl Drop for Working<'_> {
+impl Drop for ResponseTimer<'_> {
     fn drop(&mut self) {
         self.slowest_us.fetch_max(self.since.elapsed().as_micros() as u64, Ordering::Relaxed);
     }
--- a/standins/tests/users_platform/thin_link.rs
+++ b/standins/tests/users_platform/thin_link.rs
@@ -1,4 +1,4 @@
-//! Sending over a link that carries few bytes a second.
+//! Throttled writes that simulate a low-bandwidth link.
 
 use std::{
     io::{self, Write},
@@ -7,11 +7,11 @@
     time::Duration,
 };
 
-/// Bytes sent between two pauses.
+/// Number of bytes sent between two pauses.
 const CHUNK_BYTES: usize = 16_384;
 
-/// Sends bytes at a rate; 0 for as many as the connection takes.
-pub fn write_thinly(stream: &mut TcpStream, bytes: &[u8], bytes_per_s: u64) -> io::Result<()> {
+/// Sends bytes at a limited rate; 0 for no limit.
+pub fn write_throttled(stream: &mut TcpStream, bytes: &[u8], bytes_per_s: u64) -> io::Result<()> {
     if bytes_per_s == 0 {
         return stream.write_all(bytes);
     }
--- a/standins/tests/users_platform/upstream.rs
+++ b/standins/tests/users_platform/upstream.rs
@@ -1,15 +1,15 @@
-//! Stand-ins for upstreams, each of a manner of its own.
+//! Stand-in upstreams with configurable behaviour.
 
 use {
     super::{
-        PATIENCE, STAMP,
+        STAMP, WAIT_TIMEOUT,
         manner::Manner,
         message::{Message, read_message},
         own_address,
-        process::Process,
+        process::SimulatedProcess,
         upstream_answers::{
-            ask_for_pause, closed_within, healthy, is_closed, refuse, whole, whole_of_one_that_leaves,
-            whole_of_one_that_names_a_limit,
+            is_closed, is_closed_within, write_health, write_ok, write_ok_leaving, write_ok_with_limit,
+            write_pause_request, write_rejection,
         },
     },
     std::{
@@ -24,53 +24,53 @@
     },
 };
 
-/// Rest after which such an upstream has forgotten a connection.
-const FORGOTTEN_AFTER: Duration = Duration::from_millis(100);
+/// Idle time after which an upstream that forgets idle connections resets them.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Rest after a connection that could not be accepted.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// Delay before the next attempt after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Time for which an upstream runs a request under which it crashes.
-const CRASHES_AFTER: Duration = Duration::from_millis(30);
+/// Time that an upstream runs a request that crashes it.
+const CRASH_DELAY: Duration = Duration::from_millis(30);
 
-/// What an upstream said of its limit in one answer.
-pub struct LimitSaid {
-    /// The request.
+/// The limit that an upstream announced in one response.
+pub struct AnnouncedLimit {
+    /// Id of the request.
     pub id: String,
     pub at: Instant,
-    /// None if it named none.
+    /// Requests per 1000 s; none if the response announced no limit.
     pub per_1000_s: Option<u32>,
 }
 
-/// A stand-in for an upstream.
+/// A stand-in upstream.
 #[derive(Clone)]
 pub struct Upstream {
     pub id: String,
     pub address: SocketAddr,
     manner: Arc<Mutex<Manner>>,
-    /// Requests that it ran.
+    /// Number of requests that it ran.
     pub runs: Arc<AtomicUsize>,
-    /// Identities of these.
+    /// Ids of the requests that it ran.
     pub ran: Arc<Mutex<Vec<String>>>,
-    /// Requests that reached it and were not told that it is another upstream, and when.
+    /// Ids and arrival times of requests, without those that it answered as another upstream.
     pub arrivals: Arc<Mutex<Vec<(String, Instant)>>>,
-    /// Requests whose connection closed before their answer was due.
+    /// Number of requests whose connection was closed before their response was due.
     pub left: Arc<AtomicUsize>,
-    /// Questions about its health.
+    /// Number of health probes.
     pub asked: Arc<AtomicUsize>,
-    /// The last request that it got.
+    /// The last request.
     pub last: Arc<Mutex<Message>>,
-    /// Requests under which it crashed, and when.
+    /// Ids of requests that crashed it, and when.
     pub crashes: Arc<Mutex<Vec<(String, Instant)>>>,
-    /// Requests that it answered by asking for a pause: when, and for how long.
+    /// Ids of requests that it answered by asking for a pause, when, and the length of the pause.
     pub pauses: Arc<Mutex<Vec<(String, Instant, Duration)>>>,
-    /// What it said in its answers to requests since it first named a limit.
-    pub limits: Arc<Mutex<Vec<LimitSaid>>>,
-    /// Requests in whose answers it said that it leaves, and when.
+    /// Limits in its responses since it first announced one.
+    pub limits: Arc<Mutex<Vec<AnnouncedLimit>>>,
+    /// Ids of requests in whose responses it announced that it is leaving, and when.
     pub leavings: Arc<Mutex<Vec<(String, Instant)>>>,
-    /// Why it could not accept a connection the last time it failed to, as where the process has no descriptors left.
+    /// The last error of accepting a connection, for example when the process has no file descriptors left.
     pub accept_failure: Arc<Mutex<Option<String>>>,
-    process: Process,
+    process: SimulatedProcess,
 }
 
 impl Upstream {
@@ -91,7 +91,7 @@
             limits: Arc::default(),
             leavings: Arc::default(),
             accept_failure: Arc::default(),
-            process: Process::default(),
+            process: SimulatedProcess::default(),
         };
         upstream.listen(listener);
         upstream
@@ -100,7 +100,7 @@
     /// Accepts connections until it crashes.
     fn listen(&self, listener: TcpListener) {
         let listener = Arc::new(listener);
-        self.process.started(Arc::clone(&listener));
+        self.process.set_listener(Arc::clone(&listener));
         let upstream = self.clone();
         thread::spawn(move || {
             loop {
@@ -109,35 +109,35 @@
                         let upstream = upstream.clone();
                         thread::spawn(move || _ = upstream.serve(stream));
                     }
-                    Err(_) if !upstream.process.listens_at(&listener) => return,
-                    Err(error) => upstream.note_failed_accept(&error),
+                    Err(_) if !upstream.process.is_current_listener(&listener) => return,
+                    Err(error) => upstream.record_accept_error(&error),
                 }
             }
         });
     }
 
-    /// A stand-in that cannot accept is a fault of the harness, not one that a promise has to bear.
-    fn note_failed_accept(&self, error: &io::Error) {
+    /// Records a failed accept: this is a fault of the test harness and must not count against the code under test.
+    fn record_accept_error(&self, error: &io::Error) {
         *self.accept_failure.lock().unwrap() = Some(error.to_string());
-        thread::sleep(ACCEPT_AGAIN);
+        thread::sleep(ACCEPT_RETRY_DELAY);
     }
 
-    /// Crashes from now on under each request to this path.
+    /// Crashes from now on on each request to this path.
     pub fn crash_on(&self, path: &str) {
         self.process.crash_on(path);
     }
 
-    /// Whether it has crashed and not started again.
+    /// Whether it has crashed and has not been restarted.
     pub fn is_down(&self) -> bool {
         self.process.is_down()
     }
 
-    /// Ends at once, as a process that crashes: nobody listens any more, and all connections close.
+    /// Crashes: closes its listener and all connections at once.
     pub fn crash(&self) {
         self.process.crash();
     }
 
-    /// Starts again at its address after a crash.
+    /// Restarts at the same address after a crash.
     pub fn start_again(&self) {
         self.listen(TcpListener::bind(self.address).unwrap());
     }
@@ -152,17 +152,17 @@
 
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        // One descriptor a connection: a large fleet holds thousands of them.
+        // Shares one file descriptor per connection: a large fleet holds thousands of connections.
         let stream = Arc::new(stream);
-        let _open = self.process.opened(Arc::clone(&stream));
+        let _open = self.process.track_connection(Arc::clone(&stream));
         let mut reader = BufReader::new(&*stream);
         loop {
-            let waits_since = Instant::now();
+            let idle_since = Instant::now();
             let manner = *self.manner.lock().unwrap();
-            if matches!(manner, Manner::ForgetIdle | Manner::ForgetIdleSilently) {
+            if matches!(manner, Manner::ForgetIdle | Manner::ForgetIdleWithoutLoadReport) {
                 stream.peek(&mut [0; 1])?;
-                if waits_since.elapsed() > FORGOTTEN_AFTER {
-                    // Closing with unread bytes resets.
+                if idle_since.elapsed() > IDLE_TIMEOUT {
+                    // Closing a socket with unread bytes resets the connection.
                     return Ok(());
                 }
             }
@@ -170,26 +170,26 @@
             if request.target() == "/health" {
                 self.asked.fetch_add(1, Ordering::SeqCst);
                 let manner = *self.manner.lock().unwrap();
-                if let Manner::LateHealth(after_ms) = manner {
+                if let Manner::SlowProbes(after_ms) = manner {
                     thread::sleep(Duration::from_millis(after_ms));
                 }
-                healthy(&stream, &self.id, manner)?;
+                write_health(&stream, &self.id, manner)?;
                 continue;
             }
-            if !self.take(&stream, &request)? {
+            if !self.handle(&stream, &request)? {
                 return Ok(());
             }
         }
     }
 
-    /// Takes one request; false when the connection is to be closed.
-    fn take(&self, stream: &TcpStream, request: &Message) -> io::Result<bool> {
+    /// Handles one request; returns false if the connection must be closed.
+    fn handle(&self, stream: &TcpStream, request: &Message) -> io::Result<bool> {
         *self.last.lock().unwrap() = request.clone();
         let manner = self.manner.lock().unwrap().for_request(request);
         let id = request.header("pointvane-request-id").unwrap_or_default();
         let expected = request.header("pointvane-expect-instance").unwrap_or_default();
         if expected != self.id {
-            refuse(stream, "421 Misdirected Request", id, "pointvane-not-executed: 1\r\n")?;
+            write_rejection(stream, "421 Misdirected Request", id, "pointvane-not-executed: 1\r\n")?;
             return Ok(true);
         }
         if manner != Manner::Misdirected {
@@ -202,71 +202,73 @@
             self.runs.fetch_add(1, Ordering::SeqCst);
             self.ran.lock().unwrap().push(id.into());
         }
-        if self.process.crashes_under(request.target()) {
-            thread::sleep(CRASHES_AFTER);
+        if self.process.is_crash_target(request.target()) {
+            thread::sleep(CRASH_DELAY);
             self.crashes.lock().unwrap().push((id.into(), Instant::now()));
             self.process.crash();
             return Ok(false);
         }
-        let is_kept = self.answer(stream, manner, id)?;
-        self.note_limit(manner, id);
-        Ok(is_kept)
+        let keep_open = self.respond(stream, manner, id)?;
+        self.record_limit(manner, id);
+        Ok(keep_open)
     }
 
-    fn note_limit(&self, manner: Manner, id: &str) {
+    fn record_limit(&self, manner: Manner, id: &str) {
         let mut limits = self.limits.lock().unwrap();
-        let named = match manner {
+        let announced = match manner {
             Manner::NameLimit { per_1000_s } => Some(per_1000_s),
             _ if limits.is_empty() => return,
             _ => None,
         };
-        limits.push(LimitSaid { id: id.into(), at: Instant::now(), per_1000_s: named });
+        limits.push(AnnouncedLimit { id: id.into(), at: Instant::now(), per_1000_s: announced });
     }
 
-    /// Whether it names a limit now.
+    /// Whether it currently announces a limit.
     pub fn names_limit(&self) -> bool {
         matches!(*self.manner.lock().unwrap(), Manner::NameLimit { .. })
     }
 
-    /// Answers one request; false when the connection is to be closed.
-    fn answer(&self, mut stream: &TcpStream, manner: Manner, id: &str) -> io::Result<bool> {
+    /// Responds to one request; returns false if the connection must be closed.
+    fn respond(&self, mut stream: &TcpStream, manner: Manner, id: &str) -> io::Result<bool> {
         match manner {
-            Manner::Well | Manner::Cold | Manner::LateHealth(_) | Manner::ForgetIdle => whole(stream, id)?,
-            Manner::NameLimit { per_1000_s } => whole_of_one_that_names_a_limit(stream, id, per_1000_s)?,
+            Manner::Well | Manner::Cold | Manner::SlowProbes(_) | Manner::ForgetIdle => write_ok(stream, id)?,
+            Manner::NameLimit { per_1000_s } => write_ok_with_limit(stream, id, per_1000_s)?,
             Manner::After(ms) => {
-                if closed_within(stream, Duration::from_millis(ms)) {
+                if is_closed_within(stream, Duration::from_millis(ms)) {
                     self.left.fetch_add(1, Ordering::SeqCst);
                     return Ok(false);
                 }
-                whole(stream, id)?;
+                write_ok(stream, id)?;
             }
             Manner::LoseAnswer => return Ok(false),
-            Manner::TellsNothing | Manner::ForgetIdleSilently => write!(
+            Manner::NoLoadReport | Manner::ForgetIdleWithoutLoadReport => write!(
                 stream,
                 "HTTP/1.1 200 OK\r\ncontent-length: 5\r\npointvane-request-id: {id}\r\n{STAMP}: s\r\n\r\nhello"
             )?,
-            Manner::OtherId => whole(stream, "another")?,
-            Manner::Shed => refuse(stream, "503 Service Unavailable", id, "pointvane-not-executed: 1\r\n")?,
+            Manner::OtherId => write_ok(stream, "another")?,
+            Manner::Shed => {
+                write_rejection(stream, "503 Service Unavailable", id, "pointvane-not-executed: 1\r\n")?
+            }
             Manner::AskForPause(pause_ms) => {
-                ask_for_pause(stream, id, pause_ms)?;
+                write_pause_request(stream, id, pause_ms)?;
                 let asked = (id.into(), Instant::now(), Duration::from_millis(pause_ms));
                 self.pauses.lock().unwrap().push(asked);
             }
             Manner::AskForPauseLate { pause_ms, after_ms } => {
                 thread::sleep(Duration::from_millis(after_ms));
-                let is_heard = !is_closed(stream)?;
-                ask_for_pause(stream, id, pause_ms)?;
-                if is_heard {
+                let is_open = !is_closed(stream)?;
+                write_pause_request(stream, id, pause_ms)?;
+                if is_open {
                     let asked = (id.into(), Instant::now(), Duration::from_millis(pause_ms));
                     self.pauses.lock().unwrap().push(asked);
                 }
             }
             Manner::SayLeaving => {
-                whole_of_one_that_leaves(stream, id)?;
+                write_ok_leaving(stream, id)?;
                 self.leavings.lock().unwrap().push((id.into(), Instant::now()));
             }
-            Manner::Bare503 => refuse(stream, "503 Service Unavailable", id, "")?,
-            Manner::Misdirected => refuse(stream, "421 Misdirected Request", id, "")?,
+            Manner::Bare503 => write_rejection(stream, "503 Service Unavailable", id, "")?,
+            Manner::Misdirected => write_rejection(stream, "421 Misdirected Request", id, "")?,
             Manner::CutShort => {
                 write!(
                     stream,
@@ -275,12 +277,12 @@
                 return Ok(false);
             }
             Manner::Surplus => {
-                whole(stream, id)?;
-                whole(stream, id)?;
+                write_ok(stream, id)?;
+                write_ok(stream, id)?;
             }
             Manner::AskForPauseAtDeadline(_) => unreachable!("resolved when the request was taken"),
             Manner::Silent => {
-                closed_within(stream, PATIENCE);
+                is_closed_within(stream, WAIT_TIMEOUT);
                 return Ok(false);
             }
         }
--- a/standins/tests/whole_states.rs
+++ b/standins/tests/whole_states.rs
@@ -1,4 +1,4 @@
-//! Whole states that a node passes on to many others at once: what they cost it.
+//! Memory use of a node that sends its complete state to many other nodes at once.
 
 mod users_platform;
 
@@ -17,27 +17,28 @@
     users_platform::{Manner, NodeProcess, Store, Upstream},
 };
 
-/// Upstreams of a large fleet.
+/// Number of upstreams in a large fleet.
 const UPSTREAMS: usize = 6_000;
-/// Nodes that start at the same moment.
-const STARTERS: usize = 300;
-/// Port at which nodes answer each other.
-const QUERIES_PORT: u16 = 7_660;
-/// What passing states on may add to a node's memory at its peak, in kilobytes: each upstream in a few forms, not one more for each starter.
-const ADDED_KB_MAX: u64 = 12_000;
+/// Number of nodes that start at the same moment.
+const STARTING_NODES: usize = 300;
+/// Port on which nodes response queries of their peers.
+const QUERY_PORT: u16 = 7_660;
+/// Maximum growth of the peak memory of a node, in kilobytes: enough for a few encodings of each upstream, but not for
+/// one per starting node.
+const MAX_ADDED_KB: u64 = 12_000;
 
-/// The most memory that a process has had, in kilobytes.
+/// Peak resident memory of a process, in kilobytes.
 fn peak_kb(process: u32) -> u64 {
     let status = fs::read_to_string(format!("/proc/{process}/status")).unwrap();
     let line = status.lines().find(|line| line.starts_with("VmHWM:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// A query for everything, by a node that reads its answer slowly.
+/// Queries the complete state as a node that reads the response slowly.
 fn query(node: &NodeProcess) -> TcpStream {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4_096).unwrap();
-    socket.connect(&SocketAddr::from((node.ip, QUERIES_PORT)).into()).unwrap();
+    socket.connect(&SocketAddr::from((node.ip, QUERY_PORT)).into()).unwrap();
     let mut stream = TcpStream::from(socket);
     let request = StateRequest { known: ReadMark::default() };
     stream.write_all(&codec::frame(&request).unwrap()).unwrap();
@@ -45,7 +46,7 @@
 }
 
 #[gtest]
-fn hundreds_that_start_together_cost_a_node_no_more_memory_than_a_few() {
+fn hundreds_of_nodes_starting_together_use_no_more_memory_of_a_node_than_a_few() {
     let store = Store::start();
     let upstream = Upstream::start("i-0", Manner::Well);
     store.configure(5, &[("/", "safe", 5_000, "app")]);
@@ -55,20 +56,20 @@
     node.until_ready();
     thread::sleep(Duration::from_secs(1));
     let before_kb = peak_kb(node.id());
-    let starters: Vec<TcpStream> = (0..STARTERS).map(|_| query(&node)).collect();
+    let queries: Vec<TcpStream> = (0..STARTING_NODES).map(|_| query(&node)).collect();
     thread::sleep(Duration::from_secs(1));
-    let answers = starters.into_iter().map(|mut stream| {
+    let responses = queries.into_iter().map(|mut stream| {
         let mut bytes = Vec::new();
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-        // What broke off counts as it came.
+        // A response that was cut off counts with the bytes that arrived.
         _ = stream.read_to_end(&mut bytes);
         bytes.len()
     });
-    let lengths: Vec<usize> = answers.collect();
+    let lengths: Vec<usize> = responses.collect();
     let added_kb = peak_kb(node.id()) - before_kb;
-    let whole = lengths.iter().filter(|length| **length > 1_000).count();
+    let complete = lengths.iter().filter(|length| **length > 1_000).count();
     let longest = lengths.iter().max().unwrap();
-    println!("peak before {before_kb} KB, {added_kb} KB more; {whole} whole states of {longest} bytes");
-    expect_that!(added_kb, le(ADDED_KB_MAX));
-    expect_that!(whole, ge(1));
+    println!("peak before {before_kb} KB, {added_kb} KB more; {complete} whole states of {longest} bytes");
+    expect_that!(added_kb, le(MAX_ADDED_KB));
+    expect_that!(complete, ge(1));
 }
