--- a/standins/tests/backing_off.rs
+++ b/standins/tests/backing_off.rs
@@ -1,9 +1,9 @@
 //! Upstreams that ask for a pause, and upstreams that announce in their responses that they are leaving.
 //!
-//! Guards against nodes that ignore `Retry-After`: an upstream that rejects every request reports itself idle,
-//! so it looked like the best choice and attracted the traffic. A rejection marked "not run" counted neither
-//! for nor against its upstream, and the pause in it was not read. Nodes sent 11 and 15 requests within a pause
-//! of 3 s, and up to a third of some kinds of requests was refused.
+//! Guards against nodes that ignore `Retry-After`: an upstream that rejects every request reports itself
+//! idle, so it looked like the best choice and attracted the traffic. A rejection marked "not run" counted
+//! neither for nor against its upstream, and the pause in it was not read. Nodes sent 11 and 15 requests
+//! within a pause of 3 s, and up to a third of some kinds of requests was refused.
 
 mod users_platform;
 
@@ -132,7 +132,8 @@
     }
 }
 
-/// Its entry in the store says `ready` and keeps being renewed; only its responses announce that it is leaving.
+/// Its entry in the store says `ready` and keeps being renewed; only its responses announce that it is
+/// leaving.
 #[gtest]
 fn an_upstream_that_announces_leaving_in_its_responses_gets_no_new_requests() {
     let fixture = Fixture::start(&[Manner::Well, Manner::Well]);
@@ -155,9 +156,9 @@
     expect_that!(late.count(), eq(0), "of {}", arrivals.len());
 }
 
-/// An upstream that rejects everything without asking for a pause reports itself idle too, so its rejections must
-/// outweigh its load report. When a fifth or more of the upstreams did so, 4 to 7 % of the requests were refused
-/// although other upstreams could have served them.
+/// An upstream that rejects everything without asking for a pause reports itself idle too, so its rejections
+/// must outweigh its load report. When a fifth or more of the upstreams did so, 4 to 7 % of the requests were
+/// refused although other upstreams could have served them.
 #[gtest]
 fn an_upstream_that_rejects_everything_while_reporting_free_slots_gets_few_requests() {
     // A pause of 0 is no pause.
@@ -169,8 +170,8 @@
     expect_that!(received * 10, le(statuses.len()), "of {}", statuses.len());
 }
 
-/// Requests are refused at once with the time at which the first upstream is back; a caller that retries then is
-/// served.
+/// Requests are refused at once with the time at which the first upstream is back; a caller that retries then
+/// is served.
 #[gtest]
 fn callers_get_retry_after_at_once_when_all_upstreams_ask_for_a_pause() {
     let pause = Duration::from_millis(1_500);
@@ -223,9 +224,9 @@
     expect_that!(late, le(MAX_ARRIVALS_IN_PAUSE), "of {}", arrivals.len());
 }
 
-/// Guards against pauses that are lost because the response has no receiver any more, as after a losing hedge or a
-/// caller that disconnected. An upstream that asked for 2.96 s in its response to a losing hedge received 64 more
-/// requests of that node within the pause.
+/// Guards against pauses that are lost because the response has no receiver any more, as after a losing hedge
+/// or a caller that disconnected. An upstream that asked for 2.96 s in its response to a losing hedge
+/// received 64 more requests of that node within the pause.
 #[gtest]
 fn a_pause_requested_in_a_response_without_a_receiver_is_honoured() {
     let pause = Duration::from_millis(1_500);
@@ -243,9 +244,9 @@
     fixture.expect_pause_honoured(pause);
 }
 
-/// Guards against pauses that arrive just after a deadline: an upstream rejects requests that waited in its queue
-/// until their deadline. Its response was still in flight when the node answered the caller with a time-out and
-/// closed the connection, so the pause was never read.
+/// Guards against pauses that arrive just after a deadline: an upstream rejects requests that waited in its
+/// queue until their deadline. Its response was still in flight when the node answered the caller with a
+/// time-out and closed the connection, so the pause was never read.
 #[gtest]
 fn a_pause_requested_after_the_deadline_of_a_request_is_honoured() {
     let pause = Duration::from_millis(1_500);
--- a/standins/tests/cold_upstreams.rs
+++ b/standins/tests/cold_upstreams.rs
@@ -1,5 +1,5 @@
-//! Upstreams that report in their probe responses that they are cold, with a node process: their request rate is
-//! limited.
+//! Upstreams that report in their probe responses that they are cold, with a node process: their request rate
+//! is limited.
 
 mod users_platform;
 
@@ -10,7 +10,8 @@
 };
 
 const ROUTES: [(&str, &str, u64, &str); 1] = [("/", "safe", 5_000, "app")];
-/// Interval between two requests: longer than a load report counts as fresh, so that both upstreams are candidates.
+/// Interval between two requests: longer than a load report counts as fresh, so that both upstreams are
+/// candidates.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 /// Time after its start during which a node sends nothing to cold upstreams.
 const STARTUP_HOLD: Duration = Duration::from_millis(1_600);
--- a/standins/tests/command_lines.rs
+++ b/standins/tests/command_lines.rs
@@ -1,4 +1,4 @@
-//! Checks the arguments and exit codes of all programs against the golden file.
+//! Checks that the arguments (listed in a golden file) and exit codes of all programs are unchanged.
 
 use {
     googletest::prelude::*,
--- a/standins/tests/crashing_requests.rs
+++ b/standins/tests/crashing_requests.rs
@@ -1,11 +1,11 @@
 //! A request that crashes the upstreams that run it.
 //!
-//! Guards against one request taking down a whole service: the node retried it at a second upstream, which crashed
-//! as well, and the caller repeated it at other nodes, which knew nothing of the earlier crashes. One read caused 50
-//! crashes in a service of 28 upstreams, and half of the other reads were refused or late for minutes. Nodes
-//! therefore count crashes per request, quarantine it and share that with each other. A crash shows in that all
-//! requests at the upstream fail within 2 ms of each other, 25 to 90 ms after it was sent, and a new connection is
-//! refused; after a response that was merely lost or corrupted it is accepted.
+//! Guards against one request taking down a whole service: the node retried it at a second upstream, which
+//! crashed as well, and the caller repeated it at other nodes, which knew nothing of the earlier crashes. One
+//! read caused 50 crashes in a service of 28 upstreams, and half of the other reads were refused or late for
+//! minutes. Nodes therefore count crashes per request, quarantine it and share that with each other. A crash
+//! shows in that all requests at the upstream fail within 2 ms of each other, 25 to 90 ms after it was sent,
+//! and a new connection is refused; after a response that was merely lost or corrupted it is accepted.
 
 mod users_platform;
 
@@ -67,8 +67,8 @@
         self.nodes[node].request(method, target, id, DEADLINE_MS).unwrap()
     }
 
-    /// Sends the request to one node after another until it has crashed three upstreams, with a short pause between
-    /// two tries as a caller would make.
+    /// Sends the request to one node after another until it has crashed three upstreams, with a short pause
+    /// between two tries as a caller would make.
     fn send_until_three_crashed(&self, method: &str, target: &str) {
         let until = Instant::now() + PROPAGATION_TIME;
         for round in 0.. {
@@ -106,7 +106,8 @@
     }
 }
 
-/// Callers may vary the query (a page number, a time stamp against caches) of requests that crash upstreams alike.
+/// Callers may vary the query (a page number, a time stamp against caches) of requests that crash upstreams
+/// alike.
 #[gtest]
 fn a_request_that_crashes_upstreams_is_soon_blocked_at_every_node_whatever_its_query() {
     let target = "/safe/crash";
--- a/standins/tests/data_path.rs
+++ b/standins/tests/data_path.rs
@@ -118,8 +118,8 @@
     let deployment = deploy(1, 3, "");
     let names = &deployment.plan.services[0];
     let (steering, name) = (deployment.steering(), names.upstream_name(0));
-    // Retries go only to upstreams that have responded before; until all have, a read that fails at the first upstream
-    // may not be retried.
+    // Retries go only to upstreams that have responded before; until all have, a read that fails at the first
+    // upstream may not be retried.
     wait("a response from each upstream", || {
         get(&deployment, "/dispatch/call?work_ms=1");
         upstreams_with_evidence(&deployment) == 3
@@ -228,8 +228,8 @@
     expect_that!(response.header("pointvane-outcome"), some(eq("unknown")));
 }
 
-/// All upstreams of an entry reject every request and ask for a pause of 4 s: each gets one request, two at most, and
-/// callers are told when the first upstream is back.
+/// All upstreams of an entry reject every request and ask for a pause of 4 s: each gets one request, two at
+/// most, and callers are told when the first upstream is back.
 #[gtest]
 fn upstreams_that_ask_for_a_pause_get_no_requests_until_it_is_over() {
     let deployment = deploy(1, 3, "");
@@ -255,8 +255,8 @@
     expect_that!(retry_after_s, ge(3));
 }
 
-/// The response in which an upstream asks for a pause arrives after the caller has disconnected or the deadline has
-/// passed; the entry must withhold later requests all the same.
+/// The response in which an upstream asks for a pause arrives after the caller has disconnected or the
+/// deadline has passed; the entry must withhold later requests all the same.
 #[gtest]
 fn an_entry_honours_a_pause_requested_in_a_response_without_a_receiver() {
     let disconnect = |entry| {
@@ -269,8 +269,8 @@
         expect_that!(response.header("pointvane-error"), some(eq("upstream-timeout")));
     };
     let pauses = Behaviour { pause_s: 4, ..Behaviour::default() };
-    // The stand-in does not see whether its response still reached the entry, as a busy machine may delay it for too
-    // long; one of three runs must succeed.
+    // The stand-in does not see whether its response still reached the entry, as a busy machine may delay it
+    // for too long; one of three runs must succeed.
     let at_once = Behaviour { turn_away_after_ms: 10, ..pauses.clone() };
     expect_that!(
         (0..3).any(|_| is_pause_honoured(&at_once, disconnect)),
@@ -285,8 +285,8 @@
     );
 }
 
-/// Sends requests whose responses nobody waits for until the upstream has asked for a pause; returns whether the entry
-/// then withholds all further requests.
+/// Sends requests whose responses nobody waits for until the upstream has asked for a pause; returns whether
+/// the entry then withholds all further requests.
 fn is_pause_honoured(behaviour: &Behaviour, request_once: impl Fn(SocketAddr)) -> bool {
     let deployment = deploy(1, 1, "");
     let entry = deployment.vms[0].entry();
@@ -314,7 +314,8 @@
         let response = get(&deployment, "/dispatch/call?work_ms=1");
         expect_that!(response.header("pointvane-error"), some(eq("upstreams-backing-off")));
     };
-    // The first request waits for the probe of the upstream, which is repeated if a busy machine delays the response.
+    // The first request waits for the probe of the upstream, which is repeated if a busy machine delays the
+    // response.
     refused();
     let rejected_before = done(&deployment).turned_away;
     expect_that!(rejected_before, ge(1));
--- a/standins/tests/entry_hedges.rs
+++ b/standins/tests/entry_hedges.rs
@@ -9,8 +9,8 @@
     std::{thread, time::Duration},
 };
 
-/// Concurrent requests that leave no upstream enough slack for a hedge, however they are distributed: eight of twelve
-/// slots.
+/// Concurrent requests that leave no upstream enough slack for a hedge, however they are distributed: eight
+/// of twelve slots.
 const BLOCKING_REQUESTS: usize = 8;
 
 fn cancelled_count(deployment: &Deployment) -> u64 {
@@ -19,8 +19,8 @@
     names.map(|name| deployment.admin.done(deployment.steering(), &name).unwrap().cancelled).sum()
 }
 
-/// Guards against a hedge being considered only once: if no upstream has slack at that moment, the request would wait
-/// for its slow upstream to the end.
+/// Guards against a hedge being considered only once: if no upstream has slack at that moment, the request
+/// would wait for its slow upstream to the end.
 #[gtest]
 fn a_slow_request_is_hedged_once_slack_becomes_available() {
     let deployment = deploy(1, 2, "[hedge]\nslack_share = 0.3\n");
--- a/standins/tests/evacuations.rs
+++ b/standins/tests/evacuations.rs
@@ -10,8 +10,8 @@
 
 /// Requests sent to observe how they are distributed.
 const REQUESTS: usize = 40;
-/// Interval between two requests: longer than a load report counts as fresh; otherwise the upstream that served the
-/// last request would have the only fresh report and get all of them.
+/// Interval between two requests: longer than a load report counts as fresh; otherwise the upstream that
+/// served the last request would have the only fresh report and get all of them.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Starts a store with one upstream in each of two data centres.
--- a/standins/tests/limits.rs
+++ b/standins/tests/limits.rs
@@ -120,8 +120,8 @@
     expect_that!(refused.status(), eq(503));
     expect_that!(String::from_utf8_lossy(&refused.body).trim(), eq("upstreams-limited"));
     let retry_after: f64 = refused.header("retry-after").unwrap().parse().unwrap();
-    // 2 s between two requests, a quarter of that reserved for more urgent requests, and three quarters of the target
-    // latency of 200 ms.
+    // 2 s between two requests, a quarter of that reserved for more urgent requests, and three quarters of
+    // the target latency of 200 ms.
     expect_that!(retry_after, all!(gt(0.0), le(2.65)));
     thread::sleep(Duration::from_secs_f64(retry_after));
     expect_that!(node.request("GET", "/safe/a", "again", 5_000).unwrap().status(), eq(200));
@@ -161,8 +161,8 @@
     expect_that!(max_in_window(&fixture.upstreams[0], PROPAGATION_TIME), le(allowed(2.5)));
 }
 
-/// Sends requests of three callers during the first second of a node; returns statuses and bodies, which name the reason
-/// of a refusal.
+/// Sends requests of three callers during the first second of a node; returns statuses and bodies, which name
+/// the reason of a refusal.
 fn first_second(node: &NodeProcess) -> Vec<(u16, String)> {
     let until = Instant::now() + Duration::from_secs(1);
     let call = |caller: usize| {
@@ -181,8 +181,8 @@
     })
 }
 
-/// Guards against a node that sends nothing to an upstream with a limit for 1.5 s after its start, however high the
-/// limit and whether or not there are other nodes.
+/// Guards against a node that sends nothing to an upstream with a limit for 1.5 s after its start, however
+/// high the limit and whether or not there are other nodes.
 #[gtest]
 fn a_node_that_has_just_started_uses_an_upstream_whose_limit_is_far_above_its_load() {
     let store = Store::start();
--- a/standins/tests/log_reader.rs
+++ b/standins/tests/log_reader.rs
@@ -7,7 +7,7 @@
     users_platform::{Log, Manner, NodeProcess, Store, Upstream},
 };
 
-/// Enough requests to fill the pipe and the queue of log lines.
+/// More requests than the pipe and the queue of log lines hold lines.
 const REQUESTS: usize = 2_500;
 
 #[gtest]
--- a/standins/tests/peer_links.rs
+++ b/standins/tests/peer_links.rs
@@ -19,15 +19,16 @@
 
 const OPERATOR_PORT: u16 = 9_464;
 const NODES: usize = 3;
-/// One-way delay of a slow link. A query and its response take twice that, which must stay well below the 200 ms
-/// (`peer_timeout_ms`) within which a response must begin.
+/// One-way delay of a slow link. A query and its response take twice that, which must stay well below the 200
+/// ms (`peer_timeout_ms`) within which a response must begin.
 const LINK_DELAY: Duration = Duration::from_millis(50);
 /// Duration of a one-way loss: several times as long as all queries for one revision take.
 const LOSS_DURATION: Duration = Duration::from_secs(3);
 /// Maximum wait for an echoed response.
 const ECHO_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Nodes behind proxies. Only the first one reaches the platform's store; the others get everything from their peers.
+/// Nodes behind proxies. Only the first one reaches the platform's store; the others get everything from
+/// their peers.
 struct Fleet {
     proxies: Vec<PeerProxy>,
     nodes: Vec<NodeProcess>,
@@ -233,7 +234,8 @@
         proxy.set(PeerLink::Sound);
         stream.write_all(b"more").unwrap();
         eventually(|| proxy.lost() == lost + 2);
-        // The end of the connection is dropped as well; wait for it, so that it is not counted for the next one.
+        // The end of the connection is dropped as well; wait for it, so that it is not counted for the next
+        // one.
         drop(stream);
         eventually(|| proxy.lost() == lost + 3);
     }
--- a/standins/tests/pipelining.rs
+++ b/standins/tests/pipelining.rs
@@ -22,8 +22,8 @@
     [("/safe/", "safe", 20_000, "app"), ("/unsafe/", "unsafe", 20_000, "app")];
 /// Processing time of upstreams, in milliseconds.
 const WORK_MS: u64 = 400;
-/// Target latency high enough that no request is late on a slow machine, in milliseconds. When a probe takes longer
-/// than the search for an upstream may, admission decides and refuses requests that would be late.
+/// Target latency high enough that no request is late on a slow machine, in milliseconds. When a probe takes
+/// longer than the search for an upstream may, admission decides and refuses requests that would be late.
 const TARGET_MS: u64 = 20_000;
 /// Default maximum number of concurrent requests of one connection.
 const MAX_CONCURRENT: usize = 8;
@@ -77,8 +77,8 @@
     ids.collect::<HashSet<String>>().len()
 }
 
-/// Maximum number of concurrent requests; a hedged one counts once. Each takes at least the processing time of the
-/// upstreams.
+/// Maximum number of concurrent requests; a hedged one counts once. Each takes at least the processing time
+/// of the upstreams.
 fn max_concurrent(upstreams: &[Upstream]) -> usize {
     let arrivals = upstreams.iter().flat_map(|upstream| upstream.arrivals.lock().unwrap().clone());
     let mut first: HashMap<String, Instant> = HashMap::new();
--- a/standins/tests/platform_node.rs
+++ b/standins/tests/platform_node.rs
@@ -49,9 +49,9 @@
     expect_that!(node.ready(), eq(503));
 }
 
-/// The start wait, the deadline and the target latency are long, so that the test does not depend on the speed of the
-/// machine. With a target of 200 ms the request would already be late once the wait ends, and would be refused if its
-/// upstream does not response the probe within the search time of 10 ms.
+/// The start wait, the deadline and the target latency are long, so that the test does not depend on the
+/// speed of the machine. With a target of 200 ms the request would already be late once the wait ends, and
+/// would be refused if its upstream does not answer the probe within the search time of 10 ms.
 #[gtest]
 fn a_request_that_arrives_before_the_configuration_waits_for_it_and_is_served() {
     let store = Store::start();
@@ -317,8 +317,8 @@
         expect_that!(response.status(), eq(200));
     }
     let asked: usize = upstreams.iter().map(|upstream| upstream.asked.load(Ordering::SeqCst)).sum();
-    // Until the node has learned that these upstreams report no load, a request may send more than one probe to each;
-    // ten extra probes are allowed for that.
+    // Until the node has learned that these upstreams report no load, a request may send more than one probe
+    // to each; ten extra probes are allowed for that.
     expect_that!(asked, le(60 * upstreams.len() + 10));
     expect_that!(run_count(&upstreams), eq(60));
 }
--- a/standins/tests/promises.rs
+++ b/standins/tests/promises.rs
@@ -126,7 +126,8 @@
 
 #[gtest]
 fn an_isolated_entry_notices_a_leaving_upstream() {
-    // A single entry without peers while the platform is down: its own evidence becomes stale, so it probes first.
+    // A single entry without peers while the platform is down: its own evidence becomes stale, so it probes
+    // first.
     let deployment = deploy(1, 2, "");
     let entry = deployment.vms[0].entry();
     let text = request("GET", "/dispatch/call?work_ms=1", &[], "");
@@ -200,7 +201,8 @@
     });
     thread::sleep(Duration::from_millis(300));
     deployment.vms[0].freeze();
-    // Meanwhile the caller tries the other entry, which forwards the request to the frozen owner without success.
+    // Meanwhile the caller tries the other entry, which forwards the request to the frozen owner without
+    // success.
     let response = call(deployment.vms[1].entry(), &text);
     expect_that!(response.header("pointvane-outcome"), some(eq("unknown")));
     thread::sleep(Duration::from_millis(1_500));
--- a/standins/tests/promises_page.rs
+++ b/standins/tests/promises_page.rs
@@ -8,7 +8,8 @@
     },
 };
 
-/// Extracts test names from a page: code spans with at least three underscores, without an optional `file::` prefix.
+/// Extracts test names from a page: code spans with at least three underscores, without an optional `file::`
+/// prefix.
 fn test_names(page: &str) -> Vec<&str> {
     let quoted = page.split('`').skip(1).step_by(2);
     let names = quoted.map(|text| text.rsplit("::").next().unwrap());
--- a/standins/tests/restarted_upstreams.rs
+++ b/standins/tests/restarted_upstreams.rs
@@ -1,8 +1,8 @@
 //! Upstreams that restart under the same identity.
 //!
 //! An upstream that restarts after a crash has no state, and the sequence number of its entry starts from the
-//! beginning. Guards against nodes that take the lower sequence number for an older entry: they ignored such an
-//! upstream for as long as its previous incarnation had lasted, and for good if that had been draining.
+//! beginning. Guards against nodes that take the lower sequence number for an older entry: they ignored such
+//! an upstream for as long as its previous incarnation had lasted, and for good if that had been draining.
 
 mod users_platform;
 
--- a/standins/tests/stalled_upstreams.rs
+++ b/standins/tests/stalled_upstreams.rs
@@ -1,6 +1,8 @@
-//! Upstreams that accept no connections, or accept requests and never respond, while others of their service are idle.
+//! Upstreams that accept no connections, or accept requests and never respond, while others of their service
+//! are idle.
 //!
-//! The others response probes late, as on a busy machine, so that no search finds an upstream known to be uncontended.
+//! The others answer probes late, as on a busy machine, so that no search finds an upstream known to be
+//! uncontended.
 
 mod users_platform;
 
@@ -19,7 +21,7 @@
     [("/safe/", "safe", 2_000, "app"), ("/unsafe/", "unsafe", 2_000, "app")];
 /// Deadline of a request, in milliseconds.
 const DEADLINE_MS: u64 = 2_000;
-/// Time that the idle upstreams take to response a probe, in milliseconds: longer than a search waits.
+/// Time that the idle upstreams take to answer a probe, in milliseconds: longer than a search waits.
 const PROBE_RESPONSE_MS: u64 = 45;
 
 /// Interval between two requests: long enough for the load report of the last response to become stale.
@@ -75,8 +77,8 @@
     expect_that!(statuses(&node, "unsafe", 12), each(eq(&200)));
 }
 
-/// Guards against a hedge being considered only once: if no uncontended upstream is known at that moment, the request
-/// would wait for the silent upstream until its deadline.
+/// Guards against a hedge being considered only once: if no uncontended upstream is known at that moment, the
+/// request would wait for the silent upstream until its deadline.
 #[gtest]
 fn a_request_waiting_for_a_silent_upstream_is_hedged_before_its_deadline() {
     let store = Store::start();
--- a/standins/tests/thin_links.rs
+++ b/standins/tests/thin_links.rs
@@ -25,7 +25,7 @@
 const ROUTES: usize = 5_000;
 /// Pause within a response: longer than the retransmission of a lost TCP segment, which takes about 200 ms.
 const PAUSE: Duration = Duration::from_millis(300);
-/// Port on which nodes response queries of their peers.
+/// Port on which nodes answer queries of their peers.
 const QUERY_PORT: u16 = 7_660;
 
 fn path(number: usize) -> String {
@@ -38,8 +38,8 @@
     store.configure(version, &routes);
 }
 
-/// Waits until a node serves the last route: it has no upstream and responses 503; until then it is not ready or responses
-/// 404.
+/// Waits until a node serves the last route: it has no upstream and answers 503; until then it answers 404 or
+/// 503 because it is not ready.
 fn until_routes_known(node: &NodeProcess, routes: usize) {
     node.until_ready();
     let path = path(routes - 1);
--- a/standins/tests/users_platform/manner.rs
+++ b/standins/tests/users_platform/manner.rs
@@ -33,14 +33,16 @@
     Cold,
     /// Rejects requests and asks for a pause of this many milliseconds while reporting itself idle.
     AskForPause(u64),
-    /// As [`Self::AskForPause`], but `after_ms` milliseconds after the request arrived, whether or not the connection is
-    /// still open by then. Only a pause requested on an open connection is recorded.
+    /// As [`Self::AskForPause`], but `after_ms` milliseconds after the request arrived, whether or not the
+    /// connection is still open by then. Only a pause requested on an open connection is recorded.
     AskForPauseLate { pause_ms: u64, after_ms: u64 },
-    /// As [`Self::AskForPauseLate`], shortly after the deadline of the request; the value is the pause in milliseconds.
+    /// As [`Self::AskForPauseLate`], shortly after the deadline of the request; the value is the pause in
+    /// milliseconds.
     AskForPauseAtDeadline(u64),
     /// A complete response that announces that the upstream is leaving.
     SayLeaving,
-    /// A complete response that announces how many requests per 1000 s the upstream accepts from all nodes together.
+    /// A complete response that announces how many requests per 1000 s the upstream accepts from all nodes
+    /// together.
     NameLimit { per_1000_s: u32 },
     /// A complete response; resets a connection that was idle when the next bytes arrive.
     ForgetIdle,
@@ -48,12 +50,13 @@
     ForgetIdleWithoutLoadReport,
 }
 
-/// Time after the deadline at which a request held until then is rejected, in milliseconds: the sender has given up by
-/// then.
+/// Time after the deadline at which a request held until then is rejected, in milliseconds: the sender has
+/// given up by then.
 const AFTER_DEADLINE_MS: u64 = 10;
 
 impl Manner {
-    /// Resolves the behaviour for one request: replaces a variant that depends on the deadline by one with a fixed delay.
+    /// Resolves the behaviour for one request: replaces a variant that depends on the deadline by one with a
+    /// fixed delay.
     pub fn for_request(self, request: &Message) -> Self {
         match self {
             Self::AskForPauseAtDeadline(pause_ms) => {
--- a/standins/tests/users_platform/process.rs
+++ b/standins/tests/users_platform/process.rs
@@ -28,7 +28,8 @@
         self.state.lock().unwrap().listener = Some(listener);
     }
 
-    /// Tracks a connection until the guard is dropped; a reference that remained would keep the connection open.
+    /// Tracks a connection until the guard is dropped; a reference that remained would keep the connection
+    /// open.
     pub fn track_connection(&self, connection: Arc<TcpStream>) -> OpenConnection {
         let mut state = self.state.lock().unwrap();
         state.opened += 1;
--- a/standins/tests/users_platform/store.rs
+++ b/standins/tests/users_platform/store.rs
@@ -21,9 +21,9 @@
     },
 };
 
-/// Items of the store, and its changes as events. Both are kept in encoded form, and responses are assembled without
-/// holding the lock: encoding a configuration of 2,110 routes, published 28 times, for each reader under the lock made
-/// 40 nodes wait for up to 8.0 s.
+/// Items of the store, and its changes as events. Both are kept in encoded form, and responses are assembled
+/// without holding the lock: encoding a configuration of 2,110 routes, published 28 times, for each reader
+/// under the lock made 40 nodes wait for up to 8.0 s.
 #[derive(Default)]
 struct Stored {
     revision: u64,
@@ -142,7 +142,7 @@
         for number in 0..count {
             stored.revision += 1;
             let revision = stored.revision;
-            // Spreads the ids like real ones, which share no long prefixes.
+            // Ids that differ from each other as much as real ones.
             let id = format!("i-{:010x}", (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24);
             let (high, low) = (number / 250, number % 250);
             let value = STANDARD.encode(format!(
--- a/standins/tests/users_platform/upstream.rs
+++ b/standins/tests/users_platform/upstream.rs
@@ -116,13 +116,14 @@
         });
     }
 
-    /// Records a failed accept: this is a fault of the test harness and must not count against the code under test.
+    /// Records a failed accept: this is a fault of the test harness and must not count against the code under
+    /// test.
     fn record_accept_error(&self, error: &io::Error) {
         *self.accept_failure.lock().unwrap() = Some(error.to_string());
         thread::sleep(ACCEPT_RETRY_DELAY);
     }
 
-    /// Crashes from now on on each request to this path.
+    /// From now on, crashes on each request to this path.
     pub fn crash_on(&self, path: &str) {
         self.process.crash_on(path);
     }
--- a/standins/tests/whole_states.rs
+++ b/standins/tests/whole_states.rs
@@ -21,10 +21,10 @@
 const UPSTREAMS: usize = 6_000;
 /// Number of nodes that start at the same moment.
 const STARTING_NODES: usize = 300;
-/// Port on which nodes response queries of their peers.
+/// Port on which nodes answer queries of their peers.
 const QUERY_PORT: u16 = 7_660;
-/// Maximum growth of the peak memory of a node, in kilobytes: enough for a few encodings of each upstream, but not for
-/// one per starting node.
+/// Maximum growth of the peak memory of a node, in kilobytes: enough for a few encodings of each upstream,
+/// but not for one per starting node.
 const MAX_ADDED_KB: u64 = 12_000;
 
 /// Peak resident memory of a process, in kilobytes.
