--- a/standins/tests/platform_node.rs
+++ b/standins/tests/platform_node.rs
@@ -81,13 +81,13 @@
     expect_that!(response.body, eq(b"hello"));
     expect_that!(response.header(STAMP), some(eq("s")));
     expect_that!(response.header("pointvane-request-id"), some(eq("id-1")));
-    let got = upstreams[0].last.lock().unwrap().clone();
-    expect_that!(got.first_line, eq("POST /unsafe/a?b=c HTTP/1.1"));
-    expect_that!(got.body, eq(b"data"));
-    expect_that!(got.header("host"), some(eq(HOST)));
-    expect_that!(got.header("pointvane-expect-instance"), some(eq("i-0")));
-    let left_ms: u64 = got.header("pointvane-deadline-ms").unwrap().parse().unwrap();
-    expect_that!(left_ms, le(1_000));
+    let forwarded = upstreams[0].last.lock().unwrap().clone();
+    expect_that!(forwarded.first_line, eq("POST /unsafe/a?b=c HTTP/1.1"));
+    expect_that!(forwarded.body, eq(b"data"));
+    expect_that!(forwarded.header("host"), some(eq(HOST)));
+    expect_that!(forwarded.header("pointvane-expect-instance"), some(eq("i-0")));
+    let remaining_ms: u64 = forwarded.header("pointvane-deadline-ms").unwrap().parse().unwrap();
+    expect_that!(remaining_ms, le(1_000));
     expect_that!(node.request("GET", "/none/", "id-2", 1_000).unwrap().status(), eq(404));
 }
 
@@ -316,10 +316,10 @@
         let response = node.request("POST", "/unsafe/a", &format!("{number}"), 5_000).unwrap();
         expect_that!(response.status(), eq(200));
     }
-    let asked: usize = upstreams.iter().map(|upstream| upstream.asked.load(Ordering::SeqCst)).sum();
+    let probes: usize = upstreams.iter().map(|upstream| upstream.asked.load(Ordering::SeqCst)).sum();
     // Until the node has learned that these upstreams report no load, a request may send more than one probe
     // to each; ten extra probes are allowed for that.
-    expect_that!(asked, le(60 * upstreams.len() + 10));
+    expect_that!(probes, le(60 * upstreams.len() + 10));
     expect_that!(run_count(&upstreams), eq(60));
 }
 
--- a/standins/tests/users_platform/message.rs
+++ b/standins/tests/users_platform/message.rs
@@ -17,19 +17,24 @@
 }
 
 impl Message {
+    /// Returns the value of a header given by its lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
     }
 
+    /// Status code of a response; 0 if the first line has none.
     pub fn status(&self) -> u16 {
         self.first_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or_default()
     }
 
+    /// Target of a request.
     pub fn target(&self) -> &str {
         self.first_line.split(' ').nth(1).unwrap_or_default()
     }
 }
 
+/// Reads a message with a body of known length or in chunks. Fails at the end of the connection, on an I/O
+/// error and on an invalid chunk size.
 pub fn read_message(reader: &mut impl BufRead) -> io::Result<Message> {
     let mut message = Message::default();
     let mut line = String::new();
@@ -54,6 +59,7 @@
     Ok(message)
 }
 
+/// Reads a chunked body.
 fn read_chunks(reader: &mut impl BufRead) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -69,6 +75,7 @@
     }
 }
 
+/// Formats a request with id and deadline; a `POST` has a body of four bytes.
 pub fn request_head(method: &str, path: &str, id: &str, deadline_ms: u64) -> String {
     let body = if method == "POST" { "content-length: 4\r\n\r\ndata" } else { "\r\n" };
     format!(
@@ -76,6 +83,7 @@
     )
 }
 
+/// Sends a request on a new connection and reads the response.
 pub fn call(address: SocketAddr, head: &str) -> io::Result<Message> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
--- a/standins/tests/users_platform/node.rs
+++ b/standins/tests/users_platform/node.rs
@@ -49,9 +49,11 @@
 
 /// A node running as a process, which is killed on drop.
 pub struct NodeProcess {
+    /// The advertised address.
     pub ip: Ipv4Addr,
     child: Child,
     settings: PathBuf,
+    /// The file with the log lines.
     pub output: PathBuf,
 }
 
@@ -102,14 +104,17 @@
 }
 
 impl NodeProcess {
+    /// Starts a node without seeds.
     pub fn start(store: &Store) -> Self {
         Self::start_in(store, &[])
     }
 
+    /// Starts a node that joins a fleet through its seeds.
     pub fn start_in(store: &Store, seeds: &[Ipv4Addr]) -> Self {
         Self::start_with(store, seeds, Log::File)
     }
 
+    /// Starts a node with seeds and a log destination.
     pub fn start_with(store: &Store, seeds: &[Ipv4Addr], log: Log) -> Self {
         Self::start_at(own_address(), store.address, seeds, log)
     }
@@ -160,21 +165,25 @@
         node
     }
 
+    /// Waits until the node reports that it is ready.
     pub fn until_ready(&self) {
         eventually(|| self.ready() == 200);
     }
 
+    /// Status code of the readiness check; 0 if the node does not respond.
     pub fn ready(&self) -> u16 {
         let head = "GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
         call((self.ip, READY_PORT).into(), head).map_or(0, |message| message.status())
     }
 
+    /// Response of the node directory; empty if the node does not respond.
     pub fn directory(&self) -> String {
         let head = "GET /resolve?name=a&region=r&zone=one HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
         call((self.ip, DIRECTORY_PORT).into(), head)
             .map_or_else(|_| String::new(), |m| String::from_utf8(m.body).unwrap())
     }
 
+    /// Address at which the node accepts requests of callers.
     pub fn traffic(&self) -> SocketAddr {
         (self.ip, TRAFFIC_PORT).into()
     }
@@ -184,10 +193,12 @@
         call(self.traffic(), &request_head(method, path, id, deadline_ms))
     }
 
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
+    /// Sends a signal given by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").arg(format!("-{name}")).arg(self.child.id().to_string()).status();
         assert!(status.unwrap().success());
@@ -211,6 +222,7 @@
         code
     }
 
+    /// The log lines written so far.
     pub fn lines(&self) -> String {
         fs::read_to_string(&self.output).unwrap_or_default()
     }
--- a/standins/tests/users_platform/process.rs
+++ b/standins/tests/users_platform/process.rs
@@ -24,6 +24,7 @@
 }
 
 impl SimulatedProcess {
+    /// Sets the listener after a start.
     pub fn set_listener(&self, listener: Arc<TcpListener>) {
         self.state.lock().unwrap().listener = Some(listener);
     }
@@ -38,15 +39,18 @@
         OpenConnection { process: self.clone(), number }
     }
 
+    /// From now on, requests to this path count as crash targets.
     pub fn crash_on(&self, path: &str) {
         self.state.lock().unwrap().crash_path = Some(path.into());
     }
 
+    /// Whether a request to this target crashes the process; the query is ignored.
     pub fn is_crash_target(&self, target: &str) -> bool {
         let path = target.split('?').next();
         self.state.lock().unwrap().crash_path.as_deref() == path
     }
 
+    /// Whether the process has crashed and has not been restarted.
     pub fn is_down(&self) -> bool {
         self.state.lock().unwrap().listener.is_none()
     }
--- a/standins/tests/users_platform/store.rs
+++ b/standins/tests/users_platform/store.rs
@@ -25,7 +25,7 @@
 /// without holding the lock: encoding a configuration of 2,110 routes, published 28 times, for each reader
 /// under the lock made 40 nodes wait for up to 8.0 s.
 #[derive(Default)]
-struct Stored {
+struct StoreState {
     revision: u64,
     items: Vec<(String, Arc<str>)>,
     events: Vec<(u64, Arc<str>)>,
@@ -80,7 +80,7 @@
 #[derive(Clone)]
 pub struct Store {
     pub address: SocketAddr,
-    stored: Arc<(Mutex<Stored>, Condvar)>,
+    stored: Arc<(Mutex<StoreState>, Condvar)>,
     /// Bandwidth of responses in bytes per second; 0 for no limit.
     bytes_per_s: Arc<AtomicU64>,
     /// Number of calls that read all items.
@@ -90,6 +90,7 @@
 }
 
 impl Store {
+    /// Starts a store on a loopback address of its own.
     pub fn start() -> Self {
         let listener = TcpListener::bind((own_address(), 8_142)).unwrap();
         let store = Self {
@@ -126,9 +127,10 @@
 
     /// Drops all items and events: the threads of the store outlive the test and would keep them in memory.
     pub fn clear(&self) {
-        *self.stored.0.lock().unwrap() = Stored::default();
+        *self.stored.0.lock().unwrap() = StoreState::default();
     }
 
+    /// Writes an item.
     pub fn put(&self, key: &str, value: &str) {
         let value = STANDARD.encode(value);
         self.change(key, ItemState::Present, |revision| {
@@ -163,6 +165,7 @@
         self.stored.1.notify_all();
     }
 
+    /// Removes an item.
     pub fn remove(&self, key: &str) {
         self.change(key, ItemState::Removed, |revision| {
             format!(r#"{{"tls-key":"{key}","revision":{revision},"gone":true}}"#)
@@ -224,6 +227,7 @@
         );
     }
 
+    /// Lists an upstream in data centre `one` with a state and the sequence number of the update.
     pub fn list(&self, upstream: &Upstream, state: &str, sequence: u64) {
         self.list_at(upstream, upstream.address, state, sequence);
     }
--- a/standins/tests/users_platform/upstream.rs
+++ b/standins/tests/users_platform/upstream.rs
@@ -74,6 +74,7 @@
 }
 
 impl Upstream {
+    /// Starts an upstream on a loopback address of its own.
     pub fn start(id: &str, manner: Manner) -> Self {
         let listener = TcpListener::bind((own_address(), 8_080)).unwrap();
         let upstream = Self {
@@ -143,10 +144,12 @@
         self.listen(TcpListener::bind(self.address).unwrap());
     }
 
+    /// Sets the behaviour for requests from now on.
     pub fn set(&self, manner: Manner) {
         *self.manner.lock().unwrap() = manner;
     }
 
+    /// Number of requests that it ran.
     pub fn runs(&self) -> usize {
         self.runs.load(Ordering::SeqCst)
     }
--- a/standins/tests/users_platform/upstream_answers.rs
+++ b/standins/tests/users_platform/upstream_answers.rs
@@ -9,6 +9,7 @@
     },
 };
 
+/// Writes a complete response.
 pub fn write_ok(mut stream: &TcpStream, id: &str) -> io::Result<()> {
     write!(
         stream,
@@ -16,6 +17,7 @@
     )
 }
 
+/// Writes a response with an empty body and additional header lines.
 pub fn write_rejection(mut stream: &TcpStream, status: &str, id: &str, extra: &str) -> io::Result<()> {
     write!(stream, "HTTP/1.1 {status}\r\ncontent-length: 0\r\npointvane-request-id: {id}\r\n{extra}\r\n")
 }
