--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -36,9 +36,9 @@
         deployment.plan.services.len(),
         LOAD_DURATION.as_secs()
     );
-    let load = start_load(&deployment);
+    let load_thread = start_load(&deployment);
     let begun_at_bound = inject_faults(&mut deployment)?;
-    let reports = load.join().unwrap_or_default();
+    let reports = load_thread.join().unwrap_or_default();
     let failures = find_failures(&deployment, &reports, begun_at_bound, check_added_latency)?;
     print_timeline(&deployment);
     drop(deployment);
--- a/standins/src/upstream/fleet.rs
+++ b/standins/src/upstream/fleet.rs
@@ -38,8 +38,8 @@
 }
 
 impl Handler for Fleet {
-    /// `POST /NAME` sets the [`Behaviour`] of an upstream from JSON; `GET /NAME` returns its counts, [`Done`], as
-    /// JSON.
+    /// `POST /NAME` sets the [`Behaviour`](super::Behaviour) of an upstream from JSON; `GET /NAME` returns its counts,
+    /// [`Done`](super::Done), as JSON.
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Option<StandInResponse> {
         Some(self.handle_control(request).await)
     }
