--- a/crates/pointvane-balance/src/service/extra.rs
+++ b/crates/pointvane-balance/src/service/extra.rs
@@ -7,7 +7,7 @@
     /// Another upstream for a repeatable request whose attempt failed, if the retry budget allows it.
     pub fn retry(&mut self, failed: usize, now_us: u64) -> Option<usize> {
         let upstream = self.pick_upstream(Class::Urgent, now_us, Some(failed)).ok()?;
-        if !self.retry_budget.take(1.0, now_us) {
+        if !self.retry_budget.try_take(1.0, now_us) {
             return None;
         }
         self.begin_attempt(upstream, now_us);
@@ -37,7 +37,7 @@
         let upstream = self.pick_upstream(Class::Urgent, now_us, Some(first)).ok()?;
         let state = &self.upstreams[upstream];
         let load = state.total(&self.context(now_us)) / f32::from(state.upstream.slots);
-        if f64::from(load) > self.service.hedge.slack_share || !self.hedge_budget.take(1.0, now_us) {
+        if f64::from(load) > self.service.hedge.slack_share || !self.hedge_budget.try_take(1.0, now_us) {
             return None;
         }
         self.begin_attempt(upstream, now_us);
--- a/crates/pointvane-balance/src/service/limit.rs
+++ b/crates/pointvane-balance/src/service/limit.rs
@@ -3,8 +3,8 @@
 use {
     super::ServiceBalancer,
     pointvane_core::{
-        LimitChange, LimitNotice, LimitPlace, LimitReport, Name, ObservedLimit, US_PER_MS, US_PER_S,
-        return_spread_us,
+        LimitChange, LimitNotice, LimitRank, LimitReport, Name, ObservedLimit, US_PER_MS, US_PER_S,
+        resume_delay_max_us,
     },
     rand::Rng,
 };
@@ -19,43 +19,43 @@
         sent_at_us: Option<u64>,
         now_us: u64,
     ) {
-        let change = self.upstreams[upstream].limit.record_answer(notice, sent_at_us, now_us);
+        let change = self.upstreams[upstream].limit.record_response(notice, sent_at_us, now_us);
         self.apply_limit_change(upstream, change, now_us);
     }
 
     fn apply_limit_change(&mut self, upstream: usize, change: Option<LimitChange>, now_us: u64) {
         if matches!(change, Some(LimitChange::Set(_))) {
-            // Nothing is sent before a place is set, and places are assigned again only periodically.
-            let (place, phase) = (self.limit_place_without_members(), self.rng.random());
+            // Nothing is sent before a rank is set, and ranks are assigned again only periodically.
+            let (rank, phase) = (self.limit_rank_without_members(), self.rng.random());
             let limit = &mut self.upstreams[upstream].limit;
-            if limit.part_per_s() == Some(0.0) {
-                limit.set_place(Some(place), phase, now_us);
+            if limit.share_per_s() == Some(0.0) {
+                limit.set_rank(Some(rank), phase, now_us);
             }
         }
         if change == Some(LimitChange::Lifted) {
             let slots = self.upstreams[upstream].upstream.slots;
-            let spread_us = return_spread_us(self.limits.entry_vms_max as usize, slots.into(), US_PER_S);
+            let spread_us = resume_delay_max_us(self.limits.entry_vms_max as usize, slots.into(), US_PER_S);
             let delay_us = self.rng.random_range(0..=spread_us);
-            self.upstreams[upstream].backoff.returns(delay_us, now_us);
+            self.upstreams[upstream].backoff.record_limit_lifted(delay_us, now_us);
         }
     }
 
     /// Place of this entry VM while it does not know the other entry VMs. With it, the limit holds even if
     /// all entry VMs have started at the same time.
-    pub fn limit_place_without_members(&self) -> LimitPlace {
-        LimitPlace::last_of(self.limits.entry_vms_max as usize)
+    pub fn limit_rank_without_members(&self) -> LimitRank {
+        LimitRank::last_of(self.limits.entry_vms_max as usize)
     }
 
     /// Recalculates this entry VM's part of each limit and drops limits that have not been confirmed for too
     /// long.
-    pub fn place_limits(&mut self, place: impl Fn(&Name) -> Option<LimitPlace>, now_us: u64) {
+    pub fn update_limit_ranks(&mut self, rank: impl Fn(&Name) -> Option<LimitRank>, now_us: u64) {
         for upstream in 0..self.upstreams.len() {
             let change = self.upstreams[upstream].limit.expire(now_us);
             self.apply_limit_change(upstream, change, now_us);
             let phase = self.rng.random();
             let state = &mut self.upstreams[upstream];
             if state.limit.per_1000_s().is_some() {
-                state.limit.set_place(place(&state.upstream.name), phase, now_us);
+                state.limit.set_rank(rank(&state.upstream.name), phase, now_us);
             }
         }
     }
--- a/crates/pointvane-balance/src/service/pick.rs
+++ b/crates/pointvane-balance/src/service/pick.rs
@@ -127,15 +127,15 @@
         active
             .filter_map(|(state, _)| {
                 let backing_off_us = state.backoff.until_us(now_us).map(|until_us| until_us - now_us);
-                backing_off_us.max(state.limit.back_in_us(priority_of(Class::Urgent), now_us))
+                backing_off_us.max(state.limit.available_in_us(priority_of(Class::Urgent), now_us))
             })
             .min()
     }
 
     pub(super) fn begin_attempt(&mut self, upstream: usize, now_us: u64) {
         self.in_flight += 1;
-        self.upstreams[upstream].backoff.send_began(now_us);
-        self.upstreams[upstream].limit.send_began(now_us);
+        self.upstreams[upstream].backoff.record_send(now_us);
+        self.upstreams[upstream].limit.record_send(now_us);
         self.upstreams[upstream].own_in_flight += 1;
         self.records[upstream].last_start_us = now_us;
     }
--- a/crates/pointvane-balance/src/service/probe.rs
+++ b/crates/pointvane-balance/src/service/probe.rs
@@ -26,7 +26,7 @@
         }
         let has_waiting = !self.admission.is_empty();
         // A probe takes a slot like any request, so an upstream that is backing off is not probed.
-        let may_be_probed = |state: &UpstreamState| !state.backoff.holds(now_us);
+        let may_be_probed = |state: &UpstreamState| !state.backoff.blocks_sends(now_us);
         let is_due = |state: &UpstreamState| {
             let age_us = now_us.saturating_sub(state.evidence.last_staying_us());
             age_us > age_max_us || (!has_waiting && age_us > age_max_us / 2)
@@ -37,7 +37,7 @@
             !self.records[i].retired && may_be_probed(&self.upstreams[i]) && is_due(&self.upstreams[i])
         });
         let index = candidates.find(|&i| !self.is_probe_pending(i, now_us))?;
-        if !self.records[index].probe_budget.take(1.0, now_us) {
+        if !self.records[index].probe_budget.try_take(1.0, now_us) {
             return None;
         }
         self.records[index].probed_at_us = Some(now_us);
--- a/crates/pointvane-balance/src/service/result.rs
+++ b/crates/pointvane-balance/src/service/result.rs
@@ -2,7 +2,7 @@
 
 use {
     super::ServiceBalancer,
-    pointvane_core::{LoadReport, Name, US_PER_MS, return_spread_us},
+    pointvane_core::{LoadReport, Name, US_PER_MS, resume_delay_max_us},
     rand::Rng,
 };
 
@@ -52,7 +52,7 @@
         let may_eject = result.end == AttemptEnd::Failed && self.may_eject(now_us);
         let state = &mut self.upstreams[result.upstream];
         state.own_in_flight = state.own_in_flight.saturating_sub(1);
-        state.backoff.send_ended(result.end.was_executed(), now_us);
+        state.backoff.record_result(result.end.was_executed(), now_us);
         state.health.end_warm_up_if_complete(now_us, &self.service.ejection);
         match result.end {
             AttemptEnd::Answered => self.record_response(result, now_us),
@@ -76,22 +76,22 @@
         state.record_response(latency_us, now_us);
         let share = if self.mean_latency_us == 0.0 { 1.0 } else { LATENCY_EWMA_WEIGHT };
         self.mean_latency_us += (latency_us - self.mean_latency_us) * share;
-        self.retry_budget.earn(self.service.retry.budget_share);
-        self.hedge_budget.earn(self.service.hedge.budget_share);
+        self.retry_budget.deposit(self.service.retry.budget_share);
+        self.hedge_budget.deposit(self.service.hedge.budget_share);
     }
 
     /// Records that an upstream has asked for no requests for `for_us` microseconds.
     pub fn back_off(&mut self, upstream: usize, for_us: u64, now_us: u64) {
         let slots = self.upstreams[upstream].upstream.slots;
-        let spread_us = return_spread_us(self.limits.entry_vms_max as usize, slots.into(), for_us);
+        let spread_us = resume_delay_max_us(self.limits.entry_vms_max as usize, slots.into(), for_us);
         let delay_us = self.rng.random_range(0..=spread_us);
-        self.upstreams[upstream].backoff.asked(for_us, delay_us, now_us);
+        self.upstreams[upstream].backoff.record_retry_after(for_us, delay_us, now_us);
     }
 
     /// Whether an upstream has asked for no requests. To be checked right before a request is sent, because
     /// opening a connection takes time.
-    pub fn wants_none(&self, upstream: usize, now_us: u64) -> bool {
-        self.upstreams[upstream].backoff.wants_none(now_us)
+    pub fn is_backing_off(&self, upstream: usize, now_us: u64) -> bool {
+        self.upstreams[upstream].backoff.is_backing_off(now_us)
     }
 
     /// Records a load report that came with a response or a probe.
--- a/crates/pointvane-balance/src/service/summary.rs
+++ b/crates/pointvane-balance/src/service/summary.rs
@@ -45,7 +45,7 @@
                 ejected: state.health.is_ejected(now_us),
                 back_in_ms: state.backoff.until_us(now_us).map(|until_us| (until_us - now_us) / US_PER_MS),
                 limit_per_1000_s: state.limit.per_1000_s(),
-                limit_part_per_1000_s: state.limit.part_per_s().map(|per_s| (per_s * PER_1000_S) as u32),
+                limit_part_per_1000_s: state.limit.share_per_s().map(|per_s| (per_s * PER_1000_S) as u32),
                 evidence_age_ms: match state.evidence.last_staying_us() {
                     0 => None,
                     at_us => Some(now_us.saturating_sub(at_us) / US_PER_MS),
--- a/crates/pointvane-balance/src/service/upstreams.rs
+++ b/crates/pointvane-balance/src/service/upstreams.rs
@@ -44,7 +44,7 @@
         }
         let budget_per_s = self.service.load.probes_per_s / f64::from(self.limits.entry_vms_max);
         let record = UpstreamRecord {
-            probe_budget: TokenBucket::timed(budget_per_s, PROBE_TOKENS_MAX, now_us),
+            probe_budget: TokenBucket::full(budget_per_s, PROBE_TOKENS_MAX, now_us),
             probed_at_us: None,
             retired: false,
             reported_at_us: 0,
--- a/crates/pointvane-balance/src/upstream.rs
+++ b/crates/pointvane-balance/src/upstream.rs
@@ -84,7 +84,9 @@
     /// Whether the upstream accepts no requests, or none of this priority from this entry VM. Priority 0 is
     /// the most urgent.
     pub fn is_withheld(&self, priority: u32, now_us: u64) -> bool {
-        self.backoff.holds(now_us) || self.limit.holds(now_us) || self.limit.is_reserved(priority, now_us)
+        self.backoff.blocks_sends(now_us)
+            || self.limit.blocks_sends(now_us)
+            || self.limit.is_reserved(priority, now_us)
     }
 
     /// Estimated requests of all entry VMs in flight at this upstream.
--- a/crates/pointvane-balance/tests/limits.rs
+++ b/crates/pointvane-balance/tests/limits.rs
@@ -7,7 +7,7 @@
     googletest::prelude::*,
     pointvane_balance::{Arrival, AttemptEnd, AttemptResult, Decision, ServiceBalancer},
     pointvane_config::FleetLimits,
-    pointvane_core::{Class, ErrorKind, LimitNotice, LimitPlace, LoadReport, US_PER_MS, US_PER_S},
+    pointvane_core::{Class, ErrorKind, LimitNotice, LimitRank, LoadReport, US_PER_MS, US_PER_S},
 };
 
 const ENTRY_VMS: usize = 18;
@@ -55,8 +55,8 @@
         for index in 0..upstreams {
             self.balancers[entry_vm].reported(index, LoadReport::default(), now_us);
         }
-        let place = LimitPlace { before: entry_vm, processes: ENTRY_VMS, reached_share: 1.0 };
-        self.balancers[entry_vm].place_limits(|_| Some(place), now_us);
+        let rank = LimitRank { rank: entry_vm, processes: ENTRY_VMS, reachable_share: 1.0 };
+        self.balancers[entry_vm].update_limit_ranks(|_| Some(rank), now_us);
         for observed in self.balancers[entry_vm].take_limits(12, now_us) {
             self.balancers.iter_mut().for_each(|balancer| balancer.observe_limit(&observed, now_us));
         }
@@ -135,7 +135,7 @@
     expect_that!(received(2_000, 4_000), ge(50), "a sixth of 500 requests is 83");
 }
 
-/// A new limit left the entry VM without a part until places were assigned again, up to half a second later,
+/// A new limit left the entry VM without a share until ranks were assigned again, up to half a second later,
 /// so that it withheld all requests from the upstream until then.
 #[gtest]
 fn high_limit_withholds_no_requests_before_places_are_assigned() {
--- a/crates/pointvane-balance/tests/service.rs
+++ b/crates/pointvane-balance/tests/service.rs
@@ -467,9 +467,9 @@
 fn back_off_between_start_and_send_is_detected() {
     let mut harness = Harness::new(&service(1));
     let upstream = harness.start();
-    expect_that!(harness.balancer.wants_none(upstream, harness.now_us), eq(false));
+    expect_that!(harness.balancer.is_backing_off(upstream, harness.now_us), eq(false));
     harness.balancer.back_off(upstream, US_PER_S, harness.now_us);
-    expect_that!(harness.balancer.wants_none(upstream, harness.now_us), eq(true));
+    expect_that!(harness.balancer.is_backing_off(upstream, harness.now_us), eq(true));
 }
 
 /// Right after a start only one upstream may have reported. A read that fails there cannot be retried
--- a/crates/pointvane-core/src/account.rs
+++ b/crates/pointvane-core/src/account.rs
@@ -70,7 +70,7 @@
 
 impl Quota {
     /// Maximum number of requests in a window of `window_us` microseconds.
-    pub fn in_window(&self, window_us: u64) -> f64 {
+    pub fn requests_in_window(&self, window_us: u64) -> f64 {
         let rate_per_s = self.requests_per_1000_s as f64 / PER_1000_S;
         rate_per_s * window_us as f64 / US_PER_S + self.burst as f64
     }
--- a/crates/pointvane-core/src/adapter.rs
+++ b/crates/pointvane-core/src/adapter.rs
@@ -10,7 +10,7 @@
 
 /// A caller's query to the directory of entry addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DirectoryQuestion {
+pub struct DirectoryQuery {
     /// The caller's data centre, if the query names one.
     pub data_centre: Option<Name>,
 }
@@ -69,9 +69,9 @@
     /// [`MalformedReply`] when the response as a whole cannot be decoded.
     fn changes(&self, body: &[u8]) -> Result<ChangePage, MalformedReply>;
     /// Decodes a directory query from a request's path and query string; `None` if it is not one.
-    fn directory_question(&self, path: &str, query: &str) -> Option<DirectoryQuestion>;
+    fn parse_directory_query(&self, path: &str, query: &str) -> Option<DirectoryQuery>;
     /// Encodes the directory's response, which callers may cache for `keep_s` seconds.
-    fn directory_answer(&self, addresses: &[SocketAddr], keep_s: u64) -> String;
+    fn encode_directory_answer(&self, addresses: &[SocketAddr], keep_s: u64) -> String;
     /// Decodes the value of an upstream's load header; `None` if it is malformed.
     fn load(&self, text: &str) -> Option<UpstreamLoad>;
     /// Extracts the API key from the value of the `Authorization` header; `None` if it uses another scheme.
--- a/crates/pointvane-core/src/backoff.rs
+++ b/crates/pointvane-core/src/backoff.rs
@@ -1,6 +1,6 @@
 //! Backoff from one upstream: from its `Retry-After` until it has run a request again.
 //!
-//! Both deployments check [`Backoff::holds`] when they select an upstream, and record each send and its
+//! Both deployments check [`Backoff::blocks_sends`] when they select an upstream, and record each send and its
 //! result. Inputs: the requested backoff (`retry_after.rs`), the random delay that this process adds to it,
 //! and a monotonic clock that includes suspended time. Invariant: no request is sent before the end of any
 //! requested backoff (`tests/backoff.rs`).
@@ -35,7 +35,7 @@
 /// Upper bound of the delay to add to a backoff of `for_us`, in microseconds, when `processes` processes back
 /// off from an upstream with `slots` slots. At most `for_us`, so that no process resumes later than after
 /// twice the requested backoff.
-pub fn return_spread_us(processes: usize, slots: u32, for_us: u64) -> u64 {
+pub fn resume_delay_max_us(processes: usize, slots: u32, for_us: u64) -> u64 {
     let slots = slots.max(1) as usize;
     let delayed_processes = processes.saturating_sub(slots * UNDELAYED_PROCESSES_PER_SLOT) as u64;
     (delayed_processes * SERVICE_TIME_US / slots as u64).min(RESUME_DELAY_MAX_US).min(for_us)
@@ -54,14 +54,14 @@
     /// State for a new incarnation of the upstream. The requested backoff is dropped, but a single trial
     /// request is sent first, because the new incarnation may have requested the backoff before it was known
     /// here.
-    pub fn for_later_life(self, now_us: u64) -> Self {
-        let until_us = if self.wants_none(now_us) { now_us } else { 0 };
+    pub fn for_new_incarnation(self, now_us: u64) -> Self {
+        let until_us = if self.is_backing_off(now_us) { now_us } else { 0 };
         Self { until_us, trial_until_us: 0 }
     }
 
     /// Records a requested backoff of `for_us` microseconds, to which this process adds `delay_us`. Returns
     /// whether the backoff ends later than before; an earlier end never shortens the current backoff.
-    pub fn asked(&mut self, for_us: u64, delay_us: u64, now_us: u64) -> bool {
+    pub fn record_retry_after(&mut self, for_us: u64, delay_us: u64, now_us: u64) -> bool {
         let until_us = now_us.saturating_add(for_us);
         self.trial_until_us = 0;
         if until_us <= self.until_us {
@@ -74,27 +74,27 @@
     /// Records that the upstream's request limit has ended. All processes learn this at the same time, so
     /// this one resumes after `delay_us`, with a single trial request. A requested backoff that ends later
     /// stays in force.
-    pub fn returns(&mut self, delay_us: u64, now_us: u64) {
+    pub fn record_limit_lifted(&mut self, delay_us: u64, now_us: u64) {
         self.until_us = self.until_us.max(now_us.saturating_add(delay_us)).max(1);
     }
 
-    /// Whether the backoff is in force. Unlike [`Self::holds`], this ignores a running trial request.
-    pub fn wants_none(&self, now_us: u64) -> bool {
+    /// Whether the backoff is in force. Unlike [`Self::blocks_sends`], this ignores a running trial request.
+    pub fn is_backing_off(&self, now_us: u64) -> bool {
         now_us < self.until_us
     }
 
     /// Whether sends are blocked now, by the backoff or by a running trial request.
-    pub fn holds(&self, now_us: u64) -> bool {
-        self.wants_none(now_us) || now_us < self.trial_until_us
+    pub fn blocks_sends(&self, now_us: u64) -> bool {
+        self.is_backing_off(now_us) || now_us < self.trial_until_us
     }
 
     /// End of the current block; `None` if sends are allowed.
     pub fn until_us(&self, now_us: u64) -> Option<u64> {
-        self.holds(now_us).then(|| self.until_us.max(self.trial_until_us))
+        self.blocks_sends(now_us).then(|| self.until_us.max(self.trial_until_us))
     }
 
     /// Records a send; the first one after a backoff is the trial request.
-    pub fn send_began(&mut self, now_us: u64) {
+    pub fn record_send(&mut self, now_us: u64) {
         if self.until_us > 0 {
             self.trial_until_us = now_us + TRIAL_TIMEOUT_US;
         }
@@ -104,7 +104,7 @@
     /// backoff.
     ///
     /// A request that ends while the backoff is in force was sent before it and says nothing about its end.
-    pub fn send_ended(&mut self, ran: bool, now_us: u64) -> bool {
+    pub fn record_result(&mut self, ran: bool, now_us: u64) -> bool {
         if self.until_us == 0 || now_us < self.until_us {
             return false;
         }
--- a/crates/pointvane-core/src/hedge_schedule.rs
+++ b/crates/pointvane-core/src/hedge_schedule.rs
@@ -26,7 +26,7 @@
     }
 
     /// Advances the schedule after a check that sent no hedge.
-    pub fn tried(&mut self) {
+    pub fn record_attempt(&mut self) {
         self.next_ms *= CHECK_TIME_FACTOR;
     }
 }
--- a/crates/pointvane-core/src/late_answer.rs
+++ b/crates/pointvane-core/src/late_answer.rs
@@ -33,17 +33,17 @@
     /// When it was sent.
     pub sent_at_us: u64,
     /// Deadline of the response, as sent to the upstream.
-    pub answer_by_us: u64,
+    pub answer_deadline_us: u64,
     /// Time that its connection took to open, in microseconds.
     pub round_trip_us: u64,
 }
 
 impl SentRequest {
     /// Time until which the response head of an attempt abandoned at `abandoned_at_us` is awaited.
-    pub fn heeded_until_us(&self, abandoned_at_us: u64) -> u64 {
-        let is_timed_out = abandoned_at_us.saturating_add(DEADLINE_MARGIN_US) >= self.answer_by_us;
+    pub fn await_head_until_us(&self, abandoned_at_us: u64) -> u64 {
+        let is_timed_out = abandoned_at_us.saturating_add(DEADLINE_MARGIN_US) >= self.answer_deadline_us;
         let rejected_at_us =
-            if is_timed_out { self.answer_by_us.max(self.sent_at_us) } else { self.sent_at_us };
+            if is_timed_out { self.answer_deadline_us.max(self.sent_at_us) } else { self.sent_at_us };
         rejected_at_us + self.round_trip_us.min(ROUND_TRIP_MAX_US) + REJECTION_TIME_US
     }
 }
--- a/crates/pointvane-core/src/lib.rs
+++ b/crates/pointvane-core/src/lib.rs
@@ -33,8 +33,8 @@
 
 pub use {
     account::{AccountRule, KeyDigest, Quota},
-    adapter::{DirectoryQuestion, HeaderNames, PlatformAdapter, ReadFreshness},
-    backoff::{Backoff, return_spread_us},
+    adapter::{DirectoryQuery, HeaderNames, PlatformAdapter, ReadFreshness},
+    backoff::{Backoff, resume_delay_max_us},
     error::{AnswerRow, ErrorKind, Outcome},
     evacuation::Evacuation,
     hedge_schedule::HedgeSchedule,
@@ -46,7 +46,7 @@
         UpstreamRecord,
     },
     request::{Class, header},
-    request_limit::{LimitChange, LimitNotice, LimitPlace, LimitReport, PER_1000_S, RequestLimit},
+    request_limit::{LimitChange, LimitNotice, LimitRank, LimitReport, PER_1000_S, RequestLimit},
     retry_after::retry_after_us,
     routing::{CallerLimits, RouteKind, RouteRule, RoutingConfiguration, ServiceRule, WeightedService},
     routing_delta::{AccountsDelta, DeltaMismatch, RoutingDelta},
--- a/crates/pointvane-core/src/published.rs
+++ b/crates/pointvane-core/src/published.rs
@@ -39,7 +39,7 @@
 
 impl UpstreamRecord {
     /// Position of this entry in the order of all entries of its upstream.
-    pub fn age(&self) -> EntryVersion {
+    pub fn entry_version(&self) -> EntryVersion {
         EntryVersion { born_ms: self.born_ms, sequence: self.sequence }
     }
 }
--- a/crates/pointvane-core/src/request_limit.rs
+++ b/crates/pointvane-core/src/request_limit.rs
@@ -2,7 +2,7 @@
 //! together, and the share of one process.
 //!
 //! Upstreams of the target platform advertise the limit in their responses. Both deployments check
-//! [`RequestLimit::holds`] when they select an upstream, and record sends and responses. Advertised rates are
+//! [`RequestLimit::blocks_sends`] when they select an upstream, and record sends and responses. Advertised rates are
 //! whole requests per 1000 seconds, so that they are compared and transmitted exactly.
 //!
 //! No request waits for coordination between processes. All processes compute the same order of processes for
@@ -11,7 +11,7 @@
 //! use the upstream doubles at intervals, so that it gets requests even if the first processes have no
 //! callers.
 //!
-//! Inputs: limits advertised in responses, reports of other processes, this process's place in the order, and
+//! Inputs: limits advertised in responses, reports of other processes, this process's rank in the order, and
 //! a monotonic clock. Invariant: with the same view of the fleet, all processes together send in any period
 //! at most the limit, plus one request for each process that uses the upstream. Tests:
 //! `tests/request_limit.rs`, and for whole fleets `pointvane-dispatch/tests/limits_fleet.rs`.
@@ -67,21 +67,21 @@
 
 /// Position of a process in the order of processes that may use an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitPlace {
+pub struct LimitRank {
     /// Number of processes before it in the order.
-    pub before: usize,
+    pub rank: usize,
     /// Number of reachable processes, this one included.
     pub processes: usize,
     /// Share of the fleet that is reachable, from 0 to 1. Unreachable processes may be alive on the other
     /// side of a partition and use their share of the limit.
-    pub reached_share: f64,
+    pub reachable_share: f64,
 }
 
-impl LimitPlace {
-    /// Last place in a fleet of `processes` processes, for a process that does not know the others yet. Even
+impl LimitRank {
+    /// Last rank in a fleet of `processes` processes, for a process that does not know the others yet. Even
     /// if all processes of a fleet of at most this size take it, they together stay within the limit.
     pub const fn last_of(processes: usize) -> Self {
-        Self { before: processes.saturating_sub(1), processes, reached_share: 1.0 }
+        Self { rank: processes.saturating_sub(1), processes, reachable_share: 1.0 }
     }
 }
 
@@ -113,14 +113,14 @@
 impl RequestLimit {
     /// Records the notice in a response. `sent_at_us` is when the request was sent; `None` for a health
     /// probe, whose response may omit the header and therefore never lifts a limit.
-    pub fn record_answer(
+    pub fn record_response(
         &mut self,
         notice: LimitNotice,
         sent_at_us: Option<u64>,
         now_us: u64,
     ) -> Option<LimitChange> {
         match notice {
-            LimitNotice::Unreadable => None,
+            LimitNotice::Malformed => None,
             LimitNotice::Advertised(per_1000_s) => {
                 let change = self.set(per_1000_s, now_us);
                 self.is_unannounced = true;
@@ -251,23 +251,23 @@
         (unconfirmed_us / DOUBLING_INTERVAL_US) as u32
     }
 
-    /// Sets this process's place in the order; `None` allows it no requests. Each process draws a random
+    /// Sets this process's rank in the order; `None` allows it no requests. Each process draws a random
     /// `phase` from 0 to 1, so that the first requests of the processes do not coincide.
-    pub fn set_place(&mut self, place: Option<LimitPlace>, phase: f64, now_us: u64) {
+    pub fn set_rank(&mut self, rank: Option<LimitRank>, phase: f64, now_us: u64) {
         let doublings = self.doublings(now_us);
         if let Some(active) = &mut self.active {
-            let share_per_s = place.map_or(0.0, |place| share_per_s(active.per_1000_s, place, doublings));
+            let share_per_s = rank.map_or(0.0, |rank| share_per_s(active.per_1000_s, rank, doublings));
             active.pacer.set(share_per_s, phase, now_us);
         }
     }
 
     /// Requests per second that this process may send; `None` if no limit is in force.
-    pub fn part_per_s(&self) -> Option<f64> {
+    pub fn share_per_s(&self) -> Option<f64> {
         self.active.map(|active| active.pacer.per_s())
     }
 
     /// Whether the limit blocks all sends now.
-    pub fn holds(&self, now_us: u64) -> bool {
+    pub fn blocks_sends(&self, now_us: u64) -> bool {
         self.active.is_some_and(|active| !active.pacer.allows(now_us))
     }
 
@@ -287,22 +287,22 @@
 
     /// Time until a request of `priority` may be sent, in microseconds: by this process or, if its share is
     /// 0, by any process. `None` if it may be sent now.
-    pub fn back_in_us(&self, priority: u32, now_us: u64) -> Option<u64> {
+    pub fn available_in_us(&self, priority: u32, now_us: u64) -> Option<u64> {
         let active = self
             .active
             .filter(|active| active.pacer.is_reserved(priority, now_us) || !active.pacer.allows(now_us))?;
         Some(
             active
                 .pacer
-                .back_in_us(priority, now_us)
+                .available_in_us(priority, now_us)
                 .unwrap_or_else(|| pace::interval_us(total_per_s(active.per_1000_s))),
         )
     }
 
     /// Records a send.
-    pub fn send_began(&mut self, now_us: u64) {
+    pub fn record_send(&mut self, now_us: u64) {
         if let Some(active) = &mut self.active {
-            active.pacer.send_began(now_us);
+            active.pacer.record_send(now_us);
         }
     }
 }
@@ -319,10 +319,10 @@
 }
 
 /// Rate of one process, in requests per second.
-fn share_per_s(per_1000_s: u32, place: LimitPlace, doublings: u32) -> f64 {
-    let senders = active_processes(per_1000_s, doublings).min(place.processes.max(1));
-    if place.before >= senders {
+fn share_per_s(per_1000_s: u32, rank: LimitRank, doublings: u32) -> f64 {
+    let senders = active_processes(per_1000_s, doublings).min(rank.processes.max(1));
+    if rank.rank >= senders {
         return 0.0;
     }
-    total_per_s(per_1000_s) * place.reached_share / senders as f64
+    total_per_s(per_1000_s) * rank.reachable_share / senders as f64
 }
--- a/crates/pointvane-core/src/request_limit/notice.rs
+++ b/crates/pointvane-core/src/request_limit/notice.rs
@@ -12,7 +12,7 @@
     #[default]
     Absent,
     /// The header is malformed; it neither sets nor lifts a limit.
-    Unreadable,
+    Malformed,
     /// Advertised rate, in requests per 1000 seconds.
     Advertised(u32),
 }
@@ -20,12 +20,12 @@
 impl LimitNotice {
     /// Parses the values of one or more headers, in requests per second. A value is a decimal number with an
     /// optional fraction. Of several valid values the lowest applies.
-    pub fn read<'v>(values: impl IntoIterator<Item = &'v [u8]>) -> Self {
+    pub fn parse<'v>(values: impl IntoIterator<Item = &'v [u8]>) -> Self {
         let parts = values.into_iter().flat_map(|value| value.split(|byte| *byte == b','));
         let min_rate = |notice, rate| match (notice, rate) {
             (Self::Advertised(one), Some(other)) => Self::Advertised(one.min(other)),
             (_, Some(rate)) => Self::Advertised(rate),
-            (Self::Absent, None) => Self::Unreadable,
+            (Self::Absent, None) => Self::Malformed,
             (notice, None) => notice,
         };
         parts.map(parse_per_1000_s).fold(Self::Absent, min_rate)
--- a/crates/pointvane-core/src/request_limit/pace.rs
+++ b/crates/pointvane-core/src/request_limit/pace.rs
@@ -69,11 +69,11 @@
     }
 
     /// Time until a request of `priority` is allowed, in microseconds; `None` if the rate is 0.
-    pub(super) fn back_in_us(&self, priority: u32, now_us: u64) -> Option<u64> {
+    pub(super) fn available_in_us(&self, priority: u32, now_us: u64) -> Option<u64> {
         (self.per_s > 0.0).then(|| self.allowed_at_us(priority).saturating_sub(now_us))
     }
 
-    pub(super) fn send_began(&mut self, now_us: u64) {
+    pub(super) fn record_send(&mut self, now_us: u64) {
         if self.per_s > 0.0 {
             self.next_us = self.next_us.max(now_us) + interval_us(self.per_s);
         }
--- a/crates/pointvane-core/src/routing.rs
+++ b/crates/pointvane-core/src/routing.rs
@@ -39,7 +39,7 @@
 
 impl RouteKind {
     /// Whether a request that may have run can be sent again.
-    pub const fn repeatable(self) -> bool {
+    pub const fn is_repeatable(self) -> bool {
         matches!(self, Self::Safe | Self::Download)
     }
 }
--- a/crates/pointvane-core/src/routing_delta.rs
+++ b/crates/pointvane-core/src/routing_delta.rs
@@ -154,7 +154,7 @@
 
     /// Number of routes and client accounts that are added, changed or removed, as a measure of the delta's
     /// size.
-    pub fn touched(&self) -> usize {
+    pub fn change_count(&self) -> usize {
         self.changed.len() + self.removed.len() + self.accounts.change_count()
     }
 }
--- a/crates/pointvane-core/src/token_bucket.rs
+++ b/crates/pointvane-core/src/token_bucket.rs
@@ -15,7 +15,7 @@
 
 impl TokenBucket {
     /// Creates a full bucket that is refilled at `rate_per_s` tokens per second.
-    pub fn timed(rate_per_s: f64, tokens_max: f64, now_us: u64) -> Self {
+    pub fn full(rate_per_s: f64, tokens_max: f64, now_us: u64) -> Self {
         Self { tokens: tokens_max, tokens_max, rate_per_s, refilled_at_us: now_us }
     }
 
@@ -32,18 +32,18 @@
         self.tokens = self.tokens.min(tokens_max);
     }
 
-    /// Creates a full bucket that only [`Self::earn`] refills.
-    pub fn earned(tokens_max: f64) -> Self {
-        Self::timed(0.0, tokens_max, 0)
+    /// Creates a full bucket that only [`Self::deposit`] refills.
+    pub fn without_refill(tokens_max: f64) -> Self {
+        Self::full(0.0, tokens_max, 0)
     }
 
     /// Adds tokens, up to the capacity.
-    pub fn earn(&mut self, tokens: f64) {
+    pub fn deposit(&mut self, tokens: f64) {
         self.tokens = (self.tokens + tokens).min(self.tokens_max);
     }
 
     /// Takes `tokens` if that many are available; returns whether it did.
-    pub fn take(&mut self, tokens: f64, now_us: u64) -> bool {
+    pub fn try_take(&mut self, tokens: f64, now_us: u64) -> bool {
         self.refill(now_us);
         let is_available = self.tokens >= tokens;
         if is_available {
@@ -61,6 +61,6 @@
     fn refill(&mut self, now_us: u64) {
         let elapsed_us = now_us.saturating_sub(self.refilled_at_us);
         self.refilled_at_us = self.refilled_at_us.max(now_us);
-        self.earn(self.rate_per_s * elapsed_us as f64 / US_PER_S as f64);
+        self.deposit(self.rate_per_s * elapsed_us as f64 / US_PER_S as f64);
     }
 }
--- a/crates/pointvane-core/src/traits.rs
+++ b/crates/pointvane-core/src/traits.rs
@@ -40,7 +40,7 @@
                     has_in_flight = true;
                 }
                 "named_metrics.draining" => report.draining = value == "1",
-                "named_metrics.request_limit" => report.limit = LimitNotice::read([value.as_bytes()]),
+                "named_metrics.request_limit" => report.limit = LimitNotice::parse([value.as_bytes()]),
                 _ => {}
             }
         }
@@ -56,7 +56,7 @@
             LimitNotice::Advertised(per_1000_s) => {
                 write!(f, ",named_metrics.request_limit={}", f64::from(per_1000_s) / PER_1000_S)
             }
-            LimitNotice::Absent | LimitNotice::Unreadable => Ok(()),
+            LimitNotice::Absent | LimitNotice::Malformed => Ok(()),
         }
     }
 }
--- a/crates/pointvane-core/tests/account.rs
+++ b/crates/pointvane-core/tests/account.rs
@@ -21,5 +21,5 @@
 #[gtest]
 fn quota_of_a_window_is_its_rate_plus_the_burst() {
     let quota = Quota { requests_per_1000_s: 1_500, burst: 4 };
-    expect_that!(quota.in_window(5_000_000), eq(11.5));
+    expect_that!(quota.requests_in_window(5_000_000), eq(11.5));
 }
--- a/crates/pointvane-core/tests/backoff.rs
+++ b/crates/pointvane-core/tests/backoff.rs
@@ -62,38 +62,38 @@
 #[gtest]
 fn sends_are_blocked_until_the_backoff_ends_and_resume_with_one_trial_request() {
     let mut backoff = Backoff::default();
-    expect_that!(backoff.holds(1), eq(false));
-    expect_that!(backoff.asked(3 * US_PER_S, US_PER_S / 2, 10 * US_PER_S), eq(true));
+    expect_that!(backoff.blocks_sends(1), eq(false));
+    expect_that!(backoff.record_retry_after(3 * US_PER_S, US_PER_S / 2, 10 * US_PER_S), eq(true));
     expect_that!(backoff.until_us(10 * US_PER_S), some(eq(13 * US_PER_S + US_PER_S / 2)));
-    expect_that!(backoff.holds(13 * US_PER_S), eq(true));
+    expect_that!(backoff.blocks_sends(13 * US_PER_S), eq(true));
     let resume_us = 13 * US_PER_S + US_PER_S / 2;
-    expect_that!(backoff.holds(resume_us), eq(false));
-    backoff.send_began(resume_us);
-    expect_that!(backoff.holds(resume_us + 1), eq(true), "the trial request blocks other sends");
-    expect_that!(backoff.send_ended(true, resume_us + 2), eq(true));
-    expect_that!(backoff.holds(resume_us + 3), eq(false));
-    backoff.send_began(resume_us + 3);
-    expect_that!(backoff.holds(resume_us + 4), eq(false), "no trial after the backoff has ended");
+    expect_that!(backoff.blocks_sends(resume_us), eq(false));
+    backoff.record_send(resume_us);
+    expect_that!(backoff.blocks_sends(resume_us + 1), eq(true), "the trial request blocks other sends");
+    expect_that!(backoff.record_result(true, resume_us + 2), eq(true));
+    expect_that!(backoff.blocks_sends(resume_us + 3), eq(false));
+    backoff.record_send(resume_us + 3);
+    expect_that!(backoff.blocks_sends(resume_us + 4), eq(false), "no trial after the backoff has ended");
 }
 
 #[gtest]
 fn a_trial_request_that_fails_or_never_ends_is_followed_by_another() {
     let mut backoff = Backoff::default();
-    backoff.asked(US_PER_S, 0, 0);
-    backoff.send_began(US_PER_S);
-    expect_that!(backoff.send_ended(false, US_PER_S + 1), eq(false));
-    expect_that!(backoff.holds(US_PER_S + 2), eq(false));
-    backoff.send_began(US_PER_S + 2);
-    expect_that!(backoff.holds(US_PER_S + 3), eq(true));
-    expect_that!(backoff.holds(2 * US_PER_S), eq(false), "the trial request timed out");
+    backoff.record_retry_after(US_PER_S, 0, 0);
+    backoff.record_send(US_PER_S);
+    expect_that!(backoff.record_result(false, US_PER_S + 1), eq(false));
+    expect_that!(backoff.blocks_sends(US_PER_S + 2), eq(false));
+    backoff.record_send(US_PER_S + 2);
+    expect_that!(backoff.blocks_sends(US_PER_S + 3), eq(true));
+    expect_that!(backoff.blocks_sends(2 * US_PER_S), eq(false), "the trial request timed out");
 }
 
 #[gtest]
 fn a_request_sent_before_the_backoff_does_not_end_it() {
     let mut backoff = Backoff::default();
-    backoff.asked(3 * US_PER_S, 0, US_PER_S);
-    expect_that!(backoff.send_ended(true, 2 * US_PER_S), eq(false));
-    expect_that!(backoff.holds(3 * US_PER_S), eq(true));
+    backoff.record_retry_after(3 * US_PER_S, 0, US_PER_S);
+    expect_that!(backoff.record_result(true, 2 * US_PER_S), eq(false));
+    expect_that!(backoff.blocks_sends(3 * US_PER_S), eq(true));
 }
 
 /// Random backoffs, sends and results: a later backoff never shortens an earlier one.
@@ -107,13 +107,13 @@
             match rng.random_range(0..4) {
                 0 => {
                     let for_us = rng.random_range(1..5 * US_PER_S);
-                    backoff.asked(for_us, rng.random_range(0..for_us), now_us);
+                    backoff.record_retry_after(for_us, rng.random_range(0..for_us), now_us);
                     until_us = until_us.max(now_us + for_us);
                 }
-                1 => _ = backoff.send_ended(rng.random_bool(0.5), now_us),
-                _ if !backoff.holds(now_us) => {
+                1 => _ = backoff.record_result(rng.random_bool(0.5), now_us),
+                _ if !backoff.blocks_sends(now_us) => {
                     assert!(now_us >= until_us, "seed {seed}");
-                    backoff.send_began(now_us);
+                    backoff.record_send(now_us);
                 }
                 _ => {}
             }
--- a/crates/pointvane-core/tests/routing_delta.rs
+++ b/crates/pointvane-core/tests/routing_delta.rs
@@ -49,7 +49,7 @@
     });
     let delta = RoutingDelta::between(&old, &new).unwrap();
     expect_that!(delta.changed.len(), eq(2), "unchanged routes are not part of the delta");
-    expect_that!(delta.touched(), eq(3));
+    expect_that!(delta.change_count(), eq(3));
     expect_that!(RoutingDelta::apply(&[delta], old).map(sorted), ok(eq(&sorted(new))));
 }
 
@@ -103,7 +103,7 @@
         Some(vec![account("a", &["1"], 1), account("b", &["3"], 1), account("d", &["4"], 2)]),
     );
     let delta = RoutingDelta::between(&old, &new).unwrap();
-    expect_that!(delta.touched(), eq(3));
+    expect_that!(delta.change_count(), eq(3));
     expect_that!(RoutingDelta::apply(&[delta], old).map(sorted_accounts), ok(eq(&sorted_accounts(new))));
 }
 
--- a/crates/pointvane-dispatch/benches/quota_quantiles.rs
+++ b/crates/pointvane-dispatch/benches/quota_quantiles.rs
@@ -14,7 +14,7 @@
 const WINDOW_US: u64 = 5_000_000;
 const CALL_INTERVAL_US: u64 = 50;
 const QUOTA: Quota = Quota { requests_per_1000_s: 8_000_000, burst: 8_000 };
-const CONTACT: FleetContact = FleetContact { connected: true, nodes: Some(586), reached_share: 1.0 };
+const CONTACT: FleetContact = FleetContact { connected: true, nodes: Some(586), reachable_share: 1.0 };
 
 fn main() {
     for account_count in ACCOUNTS {
--- a/crates/pointvane-dispatch/src/attempts.rs
+++ b/crates/pointvane-dispatch/src/attempts.rs
@@ -3,7 +3,7 @@
 //!
 //! It tracks the attempts of the request. Its caller makes the attempts, keeps the best answer, and reports
 //! the end of each attempt, the time to hedge and the deadline; the machine returns the next step. It reads
-//! no clock: the times come from [`crate::answer_by_us`] and [`crate::RouteTimes::hedge_after_ms`].
+//! no clock: the times come from [`crate::answer_deadline_us`] and [`crate::RouteTimes::hedge_after_ms`].
 //! `retry.rs` decides on each single outcome. Tests: `tests/request_attempts.rs`.
 
 use {
--- a/crates/pointvane-dispatch/src/budget.rs
+++ b/crates/pointvane-dispatch/src/budget.rs
@@ -120,7 +120,7 @@
     }
 
     /// Adds the share of a token that one request earns. To be called at its first attempt.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         let earned = self.options.ratio * self.options.ratio_used;
         self.tokens = (self.tokens + earned).min(self.tokens_max.max(1.0));
     }
@@ -173,12 +173,12 @@
         self.bucket.set(rate_per_s, burst, now_us);
         if !self.started && upstreams > 0 {
             self.started = true;
-            self.bucket.earn(burst);
+            self.bucket.deposit(burst);
         }
     }
 
     /// Takes a token for one probe; returns whether there was one.
     pub fn take(&mut self, now_us: u64) -> bool {
-        self.bucket.take(1.0, now_us)
+        self.bucket.try_take(1.0, now_us)
     }
 }
--- a/crates/pointvane-dispatch/src/deadline.rs
+++ b/crates/pointvane-dispatch/src/deadline.rs
@@ -15,7 +15,7 @@
 
 /// Time by which a request that arrived at `arrived_at_us` has to be answered, in microseconds of the
 /// monotonic clock.
-pub fn answer_by_us(route: &RouteRule, caller_timeout_ms: Option<u64>, arrived_at_us: u64) -> u64 {
+pub fn answer_deadline_us(route: &RouteRule, caller_timeout_ms: Option<u64>, arrived_at_us: u64) -> u64 {
     let deadline_ms = caller_timeout_ms.unwrap_or(DEADLINE_DEFAULT_MS).min(DEADLINE_MAX_MS);
     arrived_at_us + deadline_ms.min(route.timeout_ms) * US_PER_MS
 }
--- a/crates/pointvane-dispatch/src/eligibility.rs
+++ b/crates/pointvane-dispatch/src/eligibility.rs
@@ -27,8 +27,8 @@
             (Ineligible::Draining, state.record.draining),
             (Ineligible::Leaving, state.notices.is_leaving),
             (Ineligible::Evacuated, self.evacuations.is_evacuated(&state.record.data_centre)),
-            (Ineligible::BackingOff, state.notices.backoff.holds(now_us)),
-            (Ineligible::Limited, state.notices.limit.holds(now_us)),
+            (Ineligible::BackingOff, state.notices.backoff.blocks_sends(now_us)),
+            (Ineligible::Limited, state.notices.limit.blocks_sends(now_us)),
             (Ineligible::Cold, self.warm_up.withholds(key, state, now_us)),
             (Ineligible::Ejected, state.is_ejected(now_us)),
         ];
@@ -68,8 +68,8 @@
             _ => {
                 if let Some(state) = self.upstreams.get_mut(&key) {
                     self.warm_up.use_draw(state, now_us);
-                    state.notices.backoff.send_began(now_us);
-                    state.notices.limit.send_began(now_us);
+                    state.notices.backoff.record_send(now_us);
+                    state.notices.limit.record_send(now_us);
                 }
                 Ok(())
             }
--- a/crates/pointvane-dispatch/src/hedge.rs
+++ b/crates/pointvane-dispatch/src/hedge.rs
@@ -34,7 +34,7 @@
     let target_ms = route.target_latency_ms as f64;
     let after_ms = answer_quantile_ms
         .clamp(target_ms * HEDGE_DELAY_SHARES.start(), target_ms * HEDGE_DELAY_SHARES.end());
-    route.kind.repeatable().then_some(after_ms)
+    route.kind.is_repeatable().then_some(after_ms)
 }
 
 /// Multiple of the target latency from which on a hedge may go to any eligible upstream. Admission refuses
--- a/crates/pointvane-dispatch/src/lib.rs
+++ b/crates/pointvane-dispatch/src/lib.rs
@@ -74,7 +74,7 @@
     allowed_regions::AllowedRegions,
     attempts::{AttemptEnd, NextStep, RequestAttempts},
     budget::{BudgetLimits, NodeBudgets, PROBE_WINDOW_S, ProbeBudget, RetryBudget, RetryBudgetOptions},
-    deadline::answer_by_us,
+    deadline::answer_deadline_us,
     directory::{DirectoryMember, directory_addresses},
     ejection::{ProbeOutcome, unresponsive_after_ms},
     evacuations::Evacuations,
--- a/crates/pointvane-dispatch/src/limits.rs
+++ b/crates/pointvane-dispatch/src/limits.rs
@@ -3,7 +3,7 @@
 //!
 //! [`pointvane_core::RequestLimit`] decides which share of a limit this node may use and for how long;
 //! `eligibility.rs` decides whether an upstream may receive work at all. Inputs: response headers, messages
-//! from other nodes, this node's place among the nodes that use the upstream, and the monotonic clock. A
+//! from other nodes, this node's rank among the nodes that use the upstream, and the monotonic clock. A
 //! message refers to one incarnation of an upstream and is ignored if the upstream is unknown or has another
 //! incarnation. After a limit is lifted, this node returns to the upstream in the same way as after a
 //! back-off.
@@ -16,7 +16,7 @@
         upstream_key::UpstreamKey,
     },
     pointvane_core::{
-        LimitChange, LimitNotice, LimitPlace, LimitReport, Name, US_PER_MS, US_PER_S, return_spread_us,
+        LimitChange, LimitNotice, LimitRank, LimitReport, Name, US_PER_MS, US_PER_S, resume_delay_max_us,
     },
     rand::Rng,
     serde::{Deserialize, Serialize},
@@ -62,7 +62,7 @@
         now_us: u64,
     ) -> Option<LimitChange> {
         let state = self.upstreams.get_mut(&key)?;
-        let change = state.notices.limit.record_answer(notice, sent_at_us, now_us);
+        let change = state.notices.limit.record_response(notice, sent_at_us, now_us);
         self.apply_limit_change(key, change, now_us);
         change
     }
@@ -109,9 +109,9 @@
     fn schedule_return(&mut self, key: UpstreamKey, now_us: u64) {
         let Some(record) = self.upstreams.get(&key).map(|state| &state.record) else { return };
         let (nodes, slots) = (self.nodes_using(&record.service), record.slots);
-        let jitter_us = self.rng.random_range(0..=return_spread_us(nodes, slots, US_PER_S));
+        let jitter_us = self.rng.random_range(0..=resume_delay_max_us(nodes, slots, US_PER_S));
         if let Some(state) = self.upstreams.get_mut(&key) {
-            state.notices.backoff.returns(jitter_us, now_us);
+            state.notices.backoff.record_limit_lifted(jitter_us, now_us);
         }
     }
 
@@ -120,11 +120,11 @@
         self.limited.iter().copied().collect()
     }
 
-    /// Sets this node's place among those that may use an upstream; `None` if it may not use it.
-    pub fn set_limit_place(&mut self, key: UpstreamKey, place: Option<LimitPlace>, now_us: u64) {
+    /// Sets this node's rank among those that may use an upstream; `None` if it may not use it.
+    pub fn set_limit_rank(&mut self, key: UpstreamKey, rank: Option<LimitRank>, now_us: u64) {
         let phase = self.rng.random();
         if let Some(state) = self.upstreams.get_mut(&key) {
-            state.notices.limit.set_place(place, phase, now_us);
+            state.notices.limit.set_rank(rank, phase, now_us);
         }
     }
 
--- a/crates/pointvane-dispatch/src/notices.rs
+++ b/crates/pointvane-dispatch/src/notices.rs
@@ -25,7 +25,7 @@
         subset::{SUBSET_MAX, ServiceUpstreams},
         upstream_key::UpstreamKey,
     },
-    pointvane_core::{Name, US_PER_MS, return_spread_us},
+    pointvane_core::{Name, US_PER_MS, resume_delay_max_us},
     rand::Rng,
     std::mem,
 };
@@ -50,9 +50,9 @@
     pub fn record_back_off(&mut self, key: UpstreamKey, for_us: u64, now_us: u64) -> Option<u64> {
         let record = &self.upstreams.get(&key)?.record;
         let (nodes, slots) = (self.nodes_using(&record.service), record.slots);
-        let jitter_us = self.rng.random_range(0..=return_spread_us(nodes, slots, for_us));
+        let jitter_us = self.rng.random_range(0..=resume_delay_max_us(nodes, slots, for_us));
         let state = self.upstreams.get_mut(&key)?;
-        state.notices.backoff.asked(for_us, jitter_us, now_us).then_some(for_us + jitter_us)
+        state.notices.backoff.record_retry_after(for_us, jitter_us, now_us).then_some(for_us + jitter_us)
     }
 
     /// Returns how many nodes use each upstream of a service. In a large service, each node uses only a
@@ -72,7 +72,7 @@
     /// Records the end of a request on an upstream; returns true if that ends the trial phase after a
     /// back-off.
     pub fn record_return(&mut self, key: UpstreamKey, ran: bool, now_us: u64) -> bool {
-        self.upstreams.get_mut(&key).is_some_and(|state| state.notices.backoff.send_ended(ran, now_us))
+        self.upstreams.get_mut(&key).is_some_and(|state| state.notices.backoff.record_result(ran, now_us))
     }
 
     /// Returns why no upstream of a service may receive work of a priority; `None` if one may, or if the
@@ -88,7 +88,7 @@
                 Err(reason @ (Ineligible::BackingOff | Ineligible::Limited)) => {
                     withheld.backing_off += usize::from(reason == Ineligible::BackingOff);
                     withheld.limited += usize::from(reason == Ineligible::Limited);
-                    let remaining_us = state.back_in_us(priority, now_us);
+                    let remaining_us = state.available_in_us(priority, now_us);
                     let remaining_ms = remaining_us.map(|remaining_us| remaining_us.div_ceil(US_PER_MS));
                     withheld.back_in_ms = withheld.back_in_ms.into_iter().chain(remaining_ms).min();
                 }
--- a/crates/pointvane-dispatch/src/pipeline.rs
+++ b/crates/pointvane-dispatch/src/pipeline.rs
@@ -30,8 +30,8 @@
     let mut free_slots = limits.requests_max;
     let mut takes_slot = |ahead: RouteKind| {
         free_slots = free_slots.saturating_sub(1);
-        ahead.repeatable()
+        ahead.is_repeatable()
     };
     let all_repeatable = ahead.into_iter().all(&mut takes_slot);
-    kind.repeatable() && all_repeatable && free_slots > 0
+    kind.is_repeatable() && all_repeatable && free_slots > 0
 }
--- a/crates/pointvane-dispatch/src/pool.rs
+++ b/crates/pointvane-dispatch/src/pool.rs
@@ -80,7 +80,7 @@
     pub fn upsert(&mut self, record: UpstreamRecord, now_us: u64) -> bool {
         if let Some(state) = self.by_id.get(&record.id).and_then(|key| self.upstreams.get_mut(key)) {
             let is_unchanged = record == state.record && state.grace_until_us.is_none();
-            if record.age() < state.record.age() || is_unchanged {
+            if record.entry_version() < state.record.entry_version() || is_unchanged {
                 return false;
             }
             if is_same_incarnation(&state.record, &record) {
@@ -90,7 +90,11 @@
             let id = record.id.clone();
             self.remove(&id);
         }
-        if self.removed.get(&record.id).is_some_and(|removed| record.age() <= removed.last.age()) {
+        if self
+            .removed
+            .get(&record.id)
+            .is_some_and(|removed| record.entry_version() <= removed.last.entry_version())
+        {
             return false;
         }
         self.insert(record, now_us);
@@ -119,7 +123,7 @@
             return Notices::default();
         };
         let is_known_incarnation = record.born_ms.is_some() && is_same_incarnation(last, record);
-        if is_known_incarnation { *notices } else { notices.for_later_life(now_us) }
+        if is_known_incarnation { *notices } else { notices.for_new_incarnation(now_us) }
     }
 
     /// Handles the removal of an upstream's entry from the platform; true if the upstream is removed at once.
--- a/crates/pointvane-dispatch/src/quarantine/news_budget.rs
+++ b/crates/pointvane-dispatch/src/quarantine/news_budget.rs
@@ -18,7 +18,7 @@
 impl NewsBudget {
     /// Creates a full budget. `now_us` is in microseconds of the monotonic clock.
     pub fn new(now_us: u64) -> Self {
-        Self { bytes: TokenBucket::timed(BROADCAST_BYTES_PER_S, BROADCAST_BURST_BYTES, now_us) }
+        Self { bytes: TokenBucket::full(BROADCAST_BYTES_PER_S, BROADCAST_BURST_BYTES, now_us) }
     }
 
     /// Takes the cost of sending a datagram of `bytes` to up to `wanted` nodes and returns to how many nodes
@@ -27,7 +27,7 @@
         let affordable = (self.bytes.level(now_us) / bytes.max(1) as f64) as usize;
         let peers = affordable.min(wanted);
         // Cannot fail: `peers` was computed from the current level.
-        self.bytes.take((peers * bytes) as f64, now_us);
+        self.bytes.try_take((peers * bytes) as f64, now_us);
         peers
     }
 }
--- a/crates/pointvane-dispatch/src/quota.rs
+++ b/crates/pointvane-dispatch/src/quota.rs
@@ -43,7 +43,7 @@
     /// message of any has arrived.
     pub nodes: Option<usize>,
     /// Fraction of these nodes that is reachable, from 0 to 1.
-    pub reached_share: f64,
+    pub reachable_share: f64,
 }
 
 /// Whether a request is admitted under its account's quota.
@@ -96,7 +96,13 @@
         };
         self.has_unknown |= local.was_never_reported();
         let uptime_us = now_us.saturating_sub(self.started_us);
-        local.admit(&AdmissionInputs { quota: quota.in_window(window_us), contact, uptime_us, now_us, draw })
+        local.admit(&AdmissionInputs {
+            quota: quota.requests_in_window(window_us),
+            contact,
+            uptime_us,
+            now_us,
+            draw,
+        })
     }
 
     /// Refunds a request that was admitted at `admitted_at_us` but not sent.
@@ -166,7 +172,7 @@
         now_us: u64,
     ) -> Option<AccountShare> {
         self.coordinator.receive(reporter, usage, quota, now_us);
-        self.coordinator.share(&usage.account, contact.reached_share, now_us)
+        self.coordinator.share(&usage.account, contact.reachable_share, now_us)
     }
 
     /// Accounts that this node coordinates and whose other coordinator has not been looked up.
@@ -197,6 +203,6 @@
 
     /// Returns the shares that this node, as a coordinator, has to broadcast now, and marks them as sent.
     pub fn take_broadcast(&mut self, contact: FleetContact, now_us: u64) -> Vec<AccountShare> {
-        self.coordinator.take_broadcast(contact.reached_share, now_us)
+        self.coordinator.take_broadcast(contact.reachable_share, now_us)
     }
 }
--- a/crates/pointvane-dispatch/src/quota/coordinator.rs
+++ b/crates/pointvane-dispatch/src/quota/coordinator.rs
@@ -302,7 +302,7 @@
     fn share(&self, account: &Name, inputs: &ShareInputs) -> AccountShare {
         let ShareInputs { window_us, fleet_share, now_us, .. } = *inputs;
         let window_s = window_us as f64 / US_PER_S;
-        let quota = self.quota.in_window(window_us) * fleet_share;
+        let quota = self.quota.requests_in_window(window_us) * fleet_share;
         let used = self.used(inputs);
         let offered_per_s = self.offered_per_s(now_us);
         let remaining =
@@ -316,7 +316,7 @@
         AccountShare {
             account: account.clone(),
             share_per_mille: (share * f64::from(PER_MILLE)) as u16,
-            used_per_mille: (used / self.quota.in_window(window_us).max(1.0) * f64::from(PER_MILLE))
+            used_per_mille: (used / self.quota.requests_in_window(window_us).max(1.0) * f64::from(PER_MILLE))
                 .min(f64::from(u16::MAX)) as u16,
             retry_after_ms: replenished_after_ms.clamp(RETRY_AFTER_MIN_MS, window_ms) as u32,
         }
@@ -326,7 +326,7 @@
     /// estimate was made are raised to that estimate.
     fn used(&self, inputs: &ShareInputs) -> f64 {
         let ShareInputs { window_us, fleet_share, started_us, now_us } = *inputs;
-        let quota = self.quota.in_window(window_us);
+        let quota = self.quota.requests_in_window(window_us);
         let reported = self.reported_within(window_us, window_us, now_us);
         let at_least = |remaining_share: f64, at_us: u64| {
             let since_us = now_us.saturating_sub(at_us).min(window_us);
--- a/crates/pointvane-dispatch/src/replica/routing_log.rs
+++ b/crates/pointvane-dispatch/src/replica/routing_log.rs
@@ -36,11 +36,11 @@
         if self.deltas.back().is_some_and(|last| last.to_version != delta.from_version) {
             self.clear();
         }
-        self.changed_routes += delta.touched();
+        self.changed_routes += delta.change_count();
         self.deltas.push_back(delta);
         while self.changed_routes > LOGGED_ROUTES_MAX || self.deltas.len() > LOGGED_DELTAS_MAX {
             let oldest = self.deltas.pop_front();
-            self.changed_routes -= oldest.map_or(0, |delta| delta.touched());
+            self.changed_routes -= oldest.map_or(0, |delta| delta.change_count());
         }
     }
 
--- a/crates/pointvane-dispatch/src/replica/state_query.rs
+++ b/crates/pointvane-dispatch/src/replica/state_query.rs
@@ -70,7 +70,7 @@
 
 /// Approximate size of deltas, as a number of routes: the rest of a delta is about as large as one route.
 fn size_in_routes(deltas: &[RoutingDelta]) -> usize {
-    deltas.iter().map(|delta| delta.touched() + 1).sum()
+    deltas.iter().map(|delta| delta.change_count() + 1).sum()
 }
 
 /// Maximum size of an encoded reply, in bytes: what a 10 Mbit/s link transfers in 1.2 s. A node that needs
--- a/crates/pointvane-dispatch/src/retry.rs
+++ b/crates/pointvane-dispatch/src/retry.rs
@@ -34,9 +34,9 @@
     may_have_run: bool,
     has_attempts_left: bool,
 ) -> Verdict {
-    let may_retry = has_attempts_left && (kind.repeatable() || !may_have_run);
+    let may_retry = has_attempts_left && (kind.is_repeatable() || !may_have_run);
     match outcome {
-        AttemptOutcome::Answered { failed: true } if may_retry && kind.repeatable() => {
+        AttemptOutcome::Answered { failed: true } if may_retry && kind.is_repeatable() => {
             Verdict::Retry { takes_token: true }
         }
         AttemptOutcome::Answered { .. } => Verdict::Deliver,
@@ -67,5 +67,5 @@
 /// An upstream that did not run a request says so in a separate header. Without that header, a status that
 /// implies "not run" must not reach the caller of a request that may not be repeated.
 pub fn may_pass_on(kind: RouteKind, status: u16) -> bool {
-    kind.repeatable() || !NOT_RUN_STATUSES.contains(&status)
+    kind.is_repeatable() || !NOT_RUN_STATUSES.contains(&status)
 }
--- a/crates/pointvane-dispatch/src/upstream.rs
+++ b/crates/pointvane-dispatch/src/upstream.rs
@@ -42,8 +42,8 @@
 impl Notices {
     /// The notices that apply to a later incarnation. Leaving and limits do not carry over; a back-off may
     /// have been requested by the later incarnation already, so `Backoff` decides what remains of it.
-    pub(crate) fn for_later_life(self, now_us: u64) -> Self {
-        Self { backoff: self.backoff.for_later_life(now_us), ..Self::default() }
+    pub(crate) fn for_new_incarnation(self, now_us: u64) -> Self {
+        Self { backoff: self.backoff.for_new_incarnation(now_us), ..Self::default() }
     }
 }
 
@@ -164,9 +164,9 @@
 
     /// Time until this node may send a request of `priority`, in microseconds, by the upstream's back-off and
     /// limit; none if neither prevents it.
-    pub fn back_in_us(&self, priority: u32, now_us: u64) -> Option<u64> {
+    pub fn available_in_us(&self, priority: u32, now_us: u64) -> Option<u64> {
         let backing_off_us = self.notices.backoff.until_us(now_us).map(|until_us| until_us - now_us);
-        backing_off_us.max(self.notices.limit.back_in_us(priority, now_us))
+        backing_off_us.max(self.notices.limit.available_in_us(priority, now_us))
     }
 
     /// The upstream's advertised limit, as far as it is known.
--- a/crates/pointvane-dispatch/tests/attempts.rs
+++ b/crates/pointvane-dispatch/tests/attempts.rs
@@ -82,7 +82,7 @@
         let (mut requests, mut retries) = (0_u32, 0_u32);
         for (node, retries_wanted) in arrivals {
             let budget = &mut budgets[node % nodes];
-            budget.earn();
+            budget.deposit();
             requests += 1;
             retries += (0..retries_wanted).filter(|_| budget.take()).count() as u32;
             prop_assert!(f64::from(retries) <= 0.2 * f64::from(requests) + slack);
@@ -96,7 +96,7 @@
         let (mut now_us, mut taken) = (0_u64, 0_u32);
         for step in steps {
             now_us += step;
-            taken += u32::from(bucket.take(1.0, now_us));
+            taken += u32::from(bucket.try_take(1.0, now_us));
             prop_assert!(f64::from(taken) <= 100.0 * now_us as f64 / 1e6 + 1e-6);
         }
     }
@@ -108,7 +108,7 @@
     let mut retries = 0;
     for _ in 0..17 {
         let mut budget = RetryBudget::new(options, 17);
-        (0..10_000).for_each(|_| budget.earn());
+        (0..10_000).for_each(|_| budget.deposit());
         retries += (0..1_000).filter(|_| budget.take()).count();
     }
     expect_that!(retries, le(62));
--- a/crates/pointvane-dispatch/tests/foreign_messages.rs
+++ b/crates/pointvane-dispatch/tests/foreign_messages.rs
@@ -9,7 +9,7 @@
 use {
     common::{configuration, gone, page, record, told},
     googletest::prelude::*,
-    pointvane_core::{Change, Evacuation, LimitNotice, LimitPlace, RouteKind, UpstreamRecord},
+    pointvane_core::{Change, Evacuation, LimitNotice, LimitRank, RouteKind, UpstreamRecord},
     pointvane_dispatch::{
         AllowedRegions, BodyFingerprint, ConfigurationUpdate, FAN_OUT, HeadFingerprint, LimitAnnouncement,
         LimitMessage, OrderedNode, PlatformReader, Pool, Quarantine, QuarantineMessage, QuarantineOptions,
@@ -100,13 +100,13 @@
     }
 
     fn receive_limit_message(&mut self, message: LimitMessage) {
-        let place = LimitPlace { before: 0, processes: 1, reached_share: 1.0 };
+        let rank = LimitRank { rank: 0, processes: 1, reachable_share: 1.0 };
         for announced in &message.limits {
             self.pool.receive_limit(announced, NOW_US);
         }
         for now_us in [NOW_US, NOW_US + S, NOW_US + 40 * S, NOW_US + 3_600 * S] {
             for key in self.pool.limited() {
-                self.pool.set_limit_place(key, Some(place), now_us);
+                self.pool.set_limit_rank(key, Some(rank), now_us);
                 _ = self.pool.begin_send(key, now_us);
                 self.pool.record_limit(key, LimitNotice::Advertised(u32::MAX), Some(now_us), now_us);
             }
--- a/crates/pointvane-dispatch/tests/limits.rs
+++ b/crates/pointvane-dispatch/tests/limits.rs
@@ -6,7 +6,7 @@
     common::{record, route},
     googletest::prelude::*,
     pointvane_core::{
-        ErrorKind, LimitChange, LimitNotice, LimitPlace, RouteKind, UpstreamLoad, UpstreamRecord,
+        ErrorKind, LimitChange, LimitNotice, LimitRank, RouteKind, UpstreamLoad, UpstreamRecord,
     },
     pointvane_dispatch::{
         AllowedRegions, Found, Ineligible, LIMITS_MAX, LimitAnnouncement, LimitMessage, Pool, RankingOptions,
@@ -20,7 +20,7 @@
 const S: u64 = 1_000 * MS;
 const SERVICE: &str = "dispatch";
 static ANY_REGION: AllowedRegions = AllowedRegions::ANY;
-const SOLE_NODE: LimitPlace = LimitPlace { before: 0, processes: 1, reached_share: 1.0 };
+const SOLE_NODE: LimitRank = LimitRank { rank: 0, processes: 1, reachable_share: 1.0 };
 
 fn entry(id: &str, born_ms: u64) -> UpstreamRecord {
     UpstreamRecord { born_ms: Some(born_ms), ..record(id, 1) }
@@ -41,11 +41,11 @@
     all.into_iter().find(|key| pool.get(*key).unwrap().id().as_str() == id).unwrap()
 }
 
-/// The upstream advertises a limit of one request per second at 1 s; this node has the given place.
-fn advertise_limit(pool: &mut Pool, key: UpstreamKey, place: Option<LimitPlace>) {
+/// The upstream advertises a limit of one request per second at 1 s; this node has the given rank.
+fn advertise_limit(pool: &mut Pool, key: UpstreamKey, rank: Option<LimitRank>) {
     let change = pool.record_limit(key, LimitNotice::Advertised(1_000), Some(MS), S);
     expect_that!(change, some(eq(LimitChange::Set(1_000))));
-    pool.set_limit_place(key, place, S);
+    pool.set_limit_rank(key, rank, S);
 }
 
 fn search(pool: &mut Pool, priority: u32, now_us: u64) -> SearchStep {
--- a/crates/pointvane-dispatch/tests/limits_fleet.rs
+++ b/crates/pointvane-dispatch/tests/limits_fleet.rs
@@ -3,7 +3,7 @@
 
 use {
     googletest::prelude::*,
-    pointvane_core::{LimitNotice, LimitPlace, LimitReport, RequestLimit},
+    pointvane_core::{LimitNotice, LimitRank, LimitReport, RequestLimit},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{collections::VecDeque, env},
 };
@@ -21,7 +21,7 @@
 /// Latency of a datagram, and the fraction of datagrams that is lost.
 const LATENCY_US: u64 = 2 * MS;
 const LOSS_RATE: f64 = 0.02;
-/// Interval at which a node updates its place and sends pending announcements.
+/// Interval at which a node updates its rank and sends pending announcements.
 const TICK_US: u64 = 200 * MS;
 /// Time until a partition is detected.
 const PARTITION_DETECTION_US: u64 = 1_400 * MS;
@@ -156,7 +156,7 @@
         self.results
     }
 
-    fn place(&self, node: usize, now_us: u64) -> Option<LimitPlace> {
+    fn rank(&self, node: usize, now_us: u64) -> Option<LimitRank> {
         let Scenario { nodes, .. } = self.scenario;
         // Stands in for rendezvous hashing: an arbitrary permutation of the nodes.
         let order = (node * 7 + 3) % nodes;
@@ -164,20 +164,20 @@
             return None;
         }
         Some(match self.scenario.sees_partition(now_us) {
-            true => LimitPlace { before: order / 2, processes: nodes / 2, reached_share: 0.5 },
-            false => LimitPlace { before: order, processes: nodes, reached_share: 1.0 },
+            true => LimitRank { rank: order / 2, processes: nodes / 2, reachable_share: 0.5 },
+            false => LimitRank { rank: order, processes: nodes, reachable_share: 1.0 },
         })
     }
 
-    fn set_place(&mut self, node: usize, now_us: u64) {
-        let place = self.place(node, now_us);
+    fn set_rank(&mut self, node: usize, now_us: u64) {
+        let rank = self.rank(node, now_us);
         let phase = self.rng.random();
-        self.nodes[node].limit.set_place(place, phase, now_us);
+        self.nodes[node].limit.set_rank(rank, phase, now_us);
     }
 
     fn tick(&mut self, node: usize, now_us: u64) {
         if self.nodes[node].limit.per_1000_s().is_some() {
-            self.set_place(node, now_us);
+            self.set_rank(node, now_us);
         }
         self.announce(node, now_us);
     }
@@ -200,7 +200,7 @@
                     continue;
                 }
                 if self.nodes[node].limit.receive(report, at_us).is_some() {
-                    self.set_place(node, at_us);
+                    self.set_rank(node, at_us);
                     if report.per_1000_s.is_none() {
                         self.results.lift_delay_us = at_us.saturating_sub(LIMIT_END_US);
                     }
@@ -222,9 +222,9 @@
         let state = &mut self.nodes[node];
         match strategy {
             Strategy::Production => {
-                let may = !state.limit.holds(now_us);
+                let may = !state.limit.blocks_sends(now_us);
                 if may {
-                    state.limit.send_began(now_us);
+                    state.limit.record_send(now_us);
                 }
                 may
             }
@@ -252,8 +252,8 @@
         if self.scenario.strategy != Strategy::Production {
             return;
         }
-        if state.limit.record_answer(notice, Some(now_us), now_us).is_some() {
-            self.set_place(node, now_us);
+        if state.limit.record_response(notice, Some(now_us), now_us).is_some() {
+            self.set_rank(node, now_us);
         }
         self.announce(node, now_us);
     }
--- a/crates/pointvane-dispatch/tests/quota.rs
+++ b/crates/pointvane-dispatch/tests/quota.rs
@@ -18,8 +18,8 @@
 const NOW_US: u64 = 100 * S;
 /// Allows 15 requests per window.
 const QUOTA: Quota = Quota { requests_per_1000_s: 2_000, burst: 5 };
-const CONNECTED: FleetContact = FleetContact { connected: true, nodes: Some(10), reached_share: 1.0 };
-const ISOLATED: FleetContact = FleetContact { connected: false, nodes: Some(10), reached_share: 0.1 };
+const CONNECTED: FleetContact = FleetContact { connected: true, nodes: Some(10), reachable_share: 1.0 };
+const ISOLATED: FleetContact = FleetContact { connected: false, nodes: Some(10), reachable_share: 0.1 };
 
 fn account() -> Name {
     "a".into()
@@ -39,9 +39,9 @@
 
 /// Returns the share that a coordinator answers to the last of some usage reports, given as the node, the
 /// number of requests it admitted and the requests per second offered to it.
-fn share_answered_to(usages: &[(u8, u32, u32)], reached_share: f64, now_us: u64) -> AccountShare {
+fn share_answered_to(usages: &[(u8, u32, u32)], reachable_share: f64, now_us: u64) -> AccountShare {
     let mut quotas = Quotas::new(WINDOW_US, STARTED_US);
-    let contact = FleetContact { reached_share, ..CONNECTED };
+    let contact = FleetContact { reachable_share, ..CONNECTED };
     let answers = usages.iter().map(|(node, admitted, offered_per_s)| {
         let usage = AccountUsage {
             account: account(),
@@ -82,7 +82,7 @@
     expect_that!(admitted(&mut quotas, S), eq(2), "15 requests divided by 10 nodes, rounded up");
     expect_that!(admitted(&mut quotas, S + 4 * S), eq(0));
     expect_that!(admitted(&mut quotas, S + 6 * S), eq(2));
-    let unknown = FleetContact { connected: false, nodes: None, reached_share: 1.0 };
+    let unknown = FleetContact { connected: false, nodes: None, reachable_share: 1.0 };
     let mut quotas = Quotas::new(WINDOW_US, STARTED_US);
     let admitted = (0..10).filter(|_| admit(&mut quotas, unknown, S, 0.0)).count();
     expect_that!(admitted, eq(1), "the number of nodes is unknown");
@@ -116,7 +116,7 @@
 /// nodes admitted far more than their part of the quota.
 #[gtest]
 fn isolated_nodes_together_admit_the_sum_of_their_parts() {
-    let isolated = FleetContact { connected: false, nodes: Some(60), reached_share: 0.5 };
+    let isolated = FleetContact { connected: false, nodes: Some(60), reachable_share: 0.5 };
     let draws = (0..60).map(|node| node as f32 / 60.0);
     let admitted: usize = draws
         .map(|draw| {
@@ -131,7 +131,7 @@
 /// received a message of any other.
 #[gtest]
 fn a_node_that_has_just_started_admits_nothing_until_the_discovery_timeout() {
-    let unknown = FleetContact { connected: false, nodes: None, reached_share: 1.0 };
+    let unknown = FleetContact { connected: false, nodes: None, reachable_share: 1.0 };
     let mut quotas = Quotas::new(WINDOW_US, NOW_US);
     expect_that!(admit(&mut quotas, unknown, NOW_US + 300 * MS, 0.0), eq(false));
     expect_that!(
--- a/crates/pointvane-dispatch/tests/quota_peers.rs
+++ b/crates/pointvane-dispatch/tests/quota_peers.rs
@@ -16,7 +16,7 @@
 const NOW_US: u64 = 100 * S;
 /// Allows 15 requests per window.
 const QUOTA: Quota = Quota { requests_per_1000_s: 2_000, burst: 5 };
-const CONTACT: FleetContact = FleetContact { connected: true, nodes: Some(10), reached_share: 1.0 };
+const CONTACT: FleetContact = FleetContact { connected: true, nodes: Some(10), reachable_share: 1.0 };
 
 fn account(number: u8) -> Name {
     format!("account-{number}").as_str().into()
--- a/crates/pointvane-dispatch/tests/quota_simulation/mod.rs
+++ b/crates/pointvane-dispatch/tests/quota_simulation/mod.rs
@@ -122,7 +122,7 @@
         let mut admitted: Vec<u64> = Vec::new();
         for (at, _) in &self.requests {
             let in_window = admitted.iter().filter(|other| **other + WINDOW_US > *at).count();
-            if ((in_window + 1) as f64) <= quota.in_window(WINDOW_US) {
+            if ((in_window + 1) as f64) <= quota.requests_in_window(WINDOW_US) {
                 admitted.push(*at);
             }
         }
@@ -141,7 +141,7 @@
 
 /// Returns the highest tolerated number of requests in a window.
 pub fn bound(quota: Quota) -> f64 {
-    quota.in_window(WINDOW_US) * (1.0 + TOLERATED_OVERSHOOT) + TOLERATED_EXTRA_REQUESTS
+    quota.requests_in_window(WINDOW_US) * (1.0 + TOLERATED_OVERSHOOT) + TOLERATED_EXTRA_REQUESTS
 }
 
 struct Node {
@@ -285,7 +285,7 @@
         let at_us = now_us - LOAD_START_US;
         let node = &self.nodes[index];
         if node.incarnation > 1 && now_us < node.started_us + DISCOVERY_DELAY_US {
-            return FleetContact { connected: false, nodes: None, reached_share: 1.0 };
+            return FleetContact { connected: false, nodes: None, reachable_share: 1.0 };
         }
         let partition_id = self.detected_partition_id(index, at_us);
         let reachable = match partition_id {
@@ -298,7 +298,7 @@
         FleetContact {
             connected: !isolated,
             nodes: Some(self.nodes.len()),
-            reached_share: reachable as f64 / self.nodes.len() as f64,
+            reachable_share: reachable as f64 / self.nodes.len() as f64,
         }
     }
 
--- a/crates/pointvane-dispatch/tests/request_attempts.rs
+++ b/crates/pointvane-dispatch/tests/request_attempts.rs
@@ -23,7 +23,7 @@
 fn budget(tokens: usize) -> RetryBudget {
     let options = RetryBudgetOptions { ratio: 1.0, slack: 100.0, ratio_used: 1.0, slack_used: 1.0 };
     let mut budget = RetryBudget::new(options, 1);
-    (0..tokens).for_each(|_| budget.earn());
+    (0..tokens).for_each(|_| budget.deposit());
     budget
 }
 
@@ -262,13 +262,13 @@
     let times: Vec<f64> = (0..4)
         .map(|_| {
             let at_ms = schedule.next_ms();
-            schedule.tried();
+            schedule.record_attempt();
             at_ms
         })
         .collect();
     expect_that!(times, elements_are![eq(&30.0), eq(&60.0), eq(&120.0), eq(&240.0)]);
     let mut zero_delay = HedgeSchedule::new(0.0);
-    zero_delay.tried();
+    zero_delay.record_attempt();
     expect_that!(
         zero_delay.next_ms(),
         ge(1.0),
--- a/crates/pointvane-dispatch/tests/routing_log.rs
+++ b/crates/pointvane-dispatch/tests/routing_log.rs
@@ -45,7 +45,7 @@
     }
     expect_that!(log.since(1), none());
     let kept = log.since(7).unwrap();
-    expect_that!(kept.iter().map(|delta| delta.touched()).sum::<usize>(), le(LOGGED_ROUTES_MAX));
+    expect_that!(kept.iter().map(|delta| delta.change_count()).sum::<usize>(), le(LOGGED_ROUTES_MAX));
     log.replaced(&with_routes(10, 1), &with_routes(11, LOGGED_ROUTES_MAX + 1));
     expect_that!(log.since(10), none(), "too large for the log");
 }
--- a/crates/pointvane-entry/src/answer_wait.rs
+++ b/crates/pointvane-entry/src/answer_wait.rs
@@ -24,14 +24,14 @@
 /// Result of a send, with the connection that it was made on.
 type SendResult = (Connection, Result<Response<Incoming>, SendError>);
 
-/// Sends a request with the deadline `answer_by_us`, and returns a future for the head of the response.
+/// Sends a request with the deadline `answer_deadline_us`, and returns a future for the head of the response.
 ///
-/// `answer_by_us` is in microseconds on the clock of the recorder's service.
+/// `answer_deadline_us` is in microseconds on the clock of the recorder's service.
 pub fn send(
     mut connection: Connection,
     request: Request<RequestBody>,
     recorder: NoticeRecorder,
-    answer_by_us: u64,
+    answer_deadline_us: u64,
 ) -> ResponseWait<impl Future<Output = SendResult> + Send + 'static> {
     let sent_at_us = recorder.service.now_us();
     let round_trip_us = connection.round_trip().as_micros() as u64;
@@ -39,7 +39,7 @@
         let response = connection.send(request).await;
         (connection, response)
     };
-    let timing = SentRequest { sent_at_us, answer_by_us, round_trip_us };
+    let timing = SentRequest { sent_at_us, answer_deadline_us, round_trip_us };
     ResponseWait { exchange: Some(Box::pin(exchange)), recorder, timing }
 }
 
@@ -71,7 +71,7 @@
         let (Some(exchange), Ok(runtime)) = (self.exchange.take(), Handle::try_current()) else { return };
         let now_us = self.recorder.service.now_us();
         let notice_timeout =
-            Duration::from_micros(self.timing.heeded_until_us(now_us).saturating_sub(now_us));
+            Duration::from_micros(self.timing.await_head_until_us(now_us).saturating_sub(now_us));
         let recorder = self.recorder.clone();
         runtime.spawn(async move {
             if let Ok((_, Ok(response))) = timeout(notice_timeout, exchange).await {
--- a/crates/pointvane-entry/src/entry.rs
+++ b/crates/pointvane-entry/src/entry.rs
@@ -150,11 +150,11 @@
         for service in &self.routes().services {
             let now_us = service.now_us();
             let mut balancer = service.lock();
-            let fallback = balancer.limit_place_without_members();
-            let place = |upstream: &Name| {
-                (!self.is_stopping()).then(|| members.limit_place(upstream).unwrap_or(fallback))
+            let fallback = balancer.limit_rank_without_members();
+            let rank = |upstream: &Name| {
+                (!self.is_stopping()).then(|| members.limit_rank(upstream).unwrap_or(fallback))
             };
-            balancer.place_limits(place, now_us);
+            balancer.update_limit_ranks(rank, now_us);
         }
     }
 
--- a/crates/pointvane-entry/src/head_notices.rs
+++ b/crates/pointvane-entry/src/head_notices.rs
@@ -29,7 +29,7 @@
         Self {
             report,
             back_off_us: retry_after_us(response.status().as_u16(), retry_after),
-            limit: report.map_or(LimitNotice::Unreadable, |report| report.limit),
+            limit: report.map_or(LimitNotice::Malformed, |report| report.limit),
         }
     }
 }
--- a/crates/pointvane-entry/src/members.rs
+++ b/crates/pointvane-entry/src/members.rs
@@ -1,7 +1,7 @@
 //! The other VMs, as listed by the control process of this VM.
 
 use {
-    pointvane_core::{Incarnation, LimitPlace, Name, VmState},
+    pointvane_core::{Incarnation, LimitRank, Name, VmState},
     pointvane_mesh::{MemberRow, rank},
     std::net::{IpAddr, SocketAddr},
 };
@@ -27,15 +27,16 @@
     /// All VMs compute the same order by rendezvous hashing. VMs that leave as planned are excluded. VMs that
     /// are believed dead may be running behind a network partition, and count as members that are not
     /// reached.
-    pub fn limit_place(&self, upstream: &Name) -> Option<LimitPlace> {
+    pub fn limit_rank(&self, upstream: &Name) -> Option<LimitRank> {
         let own_rank = rank(upstream.as_str(), self.own_name.as_ref()?);
         let is_leaving =
             |row: &&MemberRow| row.state == VmState::Leaving || row.entry.is_some_and(|entry| entry.leaving);
         let staying = || self.rows.iter().filter(|row| !is_leaving(row));
         let reachable = || staying().filter(|row| row.state != VmState::Dead);
-        let before = reachable().filter(|row| rank(upstream.as_str(), &row.identity.name) > own_rank).count();
+        let limit_rank =
+            reachable().filter(|row| rank(upstream.as_str(), &row.identity.name) > own_rank).count();
         let (processes, total) = (reachable().count() + 1, staying().count() + 1);
-        Some(LimitPlace { before, processes, reached_share: processes as f64 / total as f64 })
+        Some(LimitRank { rank: limit_rank, processes, reachable_share: processes as f64 / total as f64 })
     }
 
     /// Addresses to which load is sent: entries that are believed to be running.
--- a/crates/pointvane-entry/src/service.rs
+++ b/crates/pointvane-entry/src/service.rs
@@ -166,7 +166,7 @@
     /// Whether the upstream has asked for a back-off that is in force now, perhaps after this attempt
     /// started.
     pub fn is_upstream_backing_off(&self) -> bool {
-        self.service.lock().wants_none(self.upstream, self.service.now_us())
+        self.service.lock().is_backing_off(self.upstream, self.service.now_us())
     }
 
     /// Records that the upstream asks for no requests for `for_us` microseconds.
--- a/crates/pointvane-entry/src/try_upstream.rs
+++ b/crates/pointvane-entry/src/try_upstream.rs
@@ -56,7 +56,7 @@
         tokio::select! {
             biased;
             outcome = &mut first_attempt => return outcome,
-            () = sleep_until(hedge_at) => schedule.tried(),
+            () = sleep_until(hedge_at) => schedule.record_attempt(),
         }
         if let Some(second) = outgoing.request.service.hedge(first) {
             break second;
@@ -99,9 +99,13 @@
         return AttemptOutcome::Unsent(body, ErrorKind::UpstreamsBackingOff);
     }
     counters.attempted();
-    let answer_by_us = outgoing.request.deadline_us;
-    let response_wait =
-        answer_wait::send(connection, outgoing.build(body), NoticeRecorder::from(&attempt), answer_by_us);
+    let answer_deadline_us = outgoing.request.deadline_us;
+    let response_wait = answer_wait::send(
+        connection,
+        outgoing.build(body),
+        NoticeRecorder::from(&attempt),
+        answer_deadline_us,
+    );
     match timeout_at(give_up_at, response_wait).await {
         Ok((connection, Ok(response))) => {
             counters.upstream_responded(&outgoing.request.service.name, attempt.elapsed_s());
--- a/crates/pointvane-node/src/attempt.rs
+++ b/crates/pointvane-node/src/attempt.rs
@@ -135,7 +135,7 @@
 /// Whether the deadline is closer than the shortest service time of the route; sending the request would only
 /// waste the upstream's capacity.
 fn cannot_finish<A: PlatformAdapter>(node: &Node<A>, request: &CallerRequest, now_us: u64) -> bool {
-    let left_ms = request.answer_by_us.saturating_sub(now_us) as f64 / US_PER_MS as f64;
+    let left_ms = request.answer_deadline_us.saturating_sub(now_us) as f64 / US_PER_MS as f64;
     node.dispatcher.route_times(&request.routed.route).cannot_finish(left_ms)
 }
 
--- a/crates/pointvane-node/src/directory.rs
+++ b/crates/pointvane-node/src/directory.rs
@@ -31,7 +31,7 @@
 ) -> Result<Response<RelayBody>, Infallible> {
     // The query is optional; without it the caller names no data centre.
     let query = request.uri().query().unwrap_or_default();
-    let Some(lookup) = node.adapter.directory_question(request.uri().path(), query) else {
+    let Some(lookup) = node.adapter.parse_directory_query(request.uri().path(), query) else {
         return Ok(short(StatusCode::NOT_FOUND, TEXT, String::new()));
     };
     let addresses = directory_addresses(&node.fleet.directory_members(), lookup.data_centre.as_ref());
@@ -39,5 +39,5 @@
         return Ok(short(StatusCode::SERVICE_UNAVAILABLE, TEXT, String::new()));
     }
     let keep_s = node.settings().limits.directory_keep_s;
-    Ok(short(StatusCode::OK, JSON, node.adapter.directory_answer(&addresses, keep_s)))
+    Ok(short(StatusCode::OK, JSON, node.adapter.encode_directory_answer(&addresses, keep_s)))
 }
--- a/crates/pointvane-node/src/exchange.rs
+++ b/crates/pointvane-node/src/exchange.rs
@@ -104,13 +104,13 @@
     let address = node.dispatcher.pool().get(key).map(|state| state.address());
     let address = address.ok_or(AttemptOutcome::Withheld(Ineligible::Gone))?;
     // Whatever the cause, the attempt is counted and logged as unreachable.
-    let repeatable = request.routed.route.kind.repeatable();
+    let repeatable = request.routed.route.kind.is_repeatable();
     let purpose = if repeatable { Purpose::Repeatable } else { Purpose::NonRepeatable };
     let connection = node.dispatcher.connections.get(address, purpose).await;
     let connection = connection.map_err(|_| AttemptOutcome::Unreachable)?;
     // The clock is read again right before the first byte is sent, since the process may have been suspended.
     let now_us = node.now_us();
-    if request.answer_by_us <= now_us {
+    if request.answer_deadline_us <= now_us {
         return Err(AttemptOutcome::TimedOut);
     }
     // Checked before a streamed body is taken, after which the request cannot go to another upstream.
@@ -119,7 +119,7 @@
     request.charge.iter().for_each(QuotaCharge::spend);
     request.sends.set(request.sends.get() + 1);
     let id = request.headers.get(&node.headers.request_id).cloned();
-    let awaited = AwaitedAnswer { key, id, answer_by_us: request.answer_by_us };
+    let awaited = AwaitedAnswer { key, id, answer_deadline_us: request.answer_deadline_us };
     let sent = head_wait::send(node, connection, outgoing, awaited).await;
     sent.ok_or(AttemptOutcome::Broken).and_then(|sent| send_result(sent, request, now_us))
 }
@@ -230,7 +230,7 @@
     let headers = outgoing.headers_mut();
     headers.clone_from(&request.headers);
     set_account(node, request, headers)?;
-    let left_ms = request.answer_by_us.saturating_sub(now_us) / US_PER_MS;
+    let left_ms = request.answer_deadline_us.saturating_sub(now_us) / US_PER_MS;
     headers.insert(node.headers.deadline_ms.clone(), HeaderValue::from(left_ms.max(1)));
     let pool = node.dispatcher.pool();
     // Without a valid header value for the id the upstream cannot verify the target, so nothing is sent.
--- a/crates/pointvane-node/src/fleet/limit_peers.rs
+++ b/crates/pointvane-node/src/fleet/limit_peers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Fleet,
-    pointvane_core::{LimitPlace, Name, VmState},
+    pointvane_core::{LimitRank, Name, VmState},
     pointvane_dispatch::{FleetContact, Forwarder, Segment},
     pointvane_mesh::{MemberRow, rank},
     std::net::SocketAddr,
@@ -23,18 +23,22 @@
     /// All nodes compute the same order by rendezvous hashing; nodes that are shutting down are excluded.
     /// Until a node has discovered the others, it assumes the last position in a fleet of maximum size, so
     /// that the limit holds even if all nodes start at the same time.
-    pub fn limit_place(&self, upstream: &Name, contact: FleetContact, running_ms: u64) -> LimitPlace {
+    pub fn limit_rank(&self, upstream: &Name, contact: FleetContact, running_ms: u64) -> LimitRank {
         let has_others = contact.nodes != Some(1);
         if has_others && running_ms < DISCOVERY_MS {
-            return LimitPlace::last_of(NODES_MAX);
+            return LimitRank::last_of(NODES_MAX);
         }
         let membership = self.membership.borrow();
         let me = membership.me();
         let own = rank(upstream.as_str(), &me.identity.name);
         let others =
             || membership.rows().filter(|row| row.identity.name != me.identity.name && shares_limits(row));
-        let before = others().filter(|row| rank(upstream.as_str(), &row.identity.name) > own).count();
-        LimitPlace { before, processes: others().count() + 1, reached_share: contact.reached_share }
+        let limit_rank = others().filter(|row| rank(upstream.as_str(), &row.identity.name) > own).count();
+        LimitRank {
+            rank: limit_rank,
+            processes: others().count() + 1,
+            reachable_share: contact.reachable_share,
+        }
     }
 
     /// The nodes to forward a limit message to.
--- a/crates/pointvane-node/src/fleet/quota_peers.rs
+++ b/crates/pointvane-node/src/fleet/quota_peers.rs
@@ -40,7 +40,7 @@
         let has_others = settings.seeds.iter().any(|seed| *seed != settings.gossip);
         if !self.received_any_datagram.get() {
             let nodes = (!has_others).then_some(1);
-            return FleetContact { connected: !has_others, nodes, reached_share: 1.0 };
+            return FleetContact { connected: !has_others, nodes, reachable_share: 1.0 };
         }
         let membership = self.membership.borrow();
         let has_left =
@@ -51,7 +51,7 @@
         FleetContact {
             connected: !self.is_isolated(now_us),
             nodes: Some(nodes),
-            reached_share: reached as f64 / nodes as f64,
+            reachable_share: reached as f64 / nodes as f64,
         }
     }
 
--- a/crates/pointvane-node/src/forward.rs
+++ b/crates/pointvane-node/src/forward.rs
@@ -56,7 +56,7 @@
     async fn run(&mut self, started_at_us: u64) -> FinalAnswer {
         let request = Rc::clone(&self.request);
         let mut attempts = RequestAttempts::started(&request.routed.route, request.body.is_some());
-        self.retry_budget().earn();
+        self.retry_budget().deposit();
         let deadline = self.deadline(started_at_us);
         let started_at = Instant::now();
         let mut hedges = self.hedge_schedule();
@@ -74,7 +74,7 @@
                     attempts.ended(result.end, request.sends.get(), &mut self.retry_budget())
                 }
                 () = sleep_until(hedge_at.unwrap_or(deadline)), if hedge_at.is_some() => {
-                    hedges.iter_mut().for_each(HedgeSchedule::tried);
+                    hedges.iter_mut().for_each(HedgeSchedule::record_attempt);
                     attempts.hedge_due(request.sends.get(), &mut self.retry_budget())
                 }
                 () = sleep_until(deadline) => attempts.deadline_passed(),
@@ -119,7 +119,7 @@
     }
 
     fn deadline(&self, now_us: u64) -> Instant {
-        Instant::now() + Duration::from_micros(self.request.answer_by_us.saturating_sub(now_us))
+        Instant::now() + Duration::from_micros(self.request.answer_deadline_us.saturating_sub(now_us))
     }
 
     /// When hedges are considered; none if hedging is disabled or the route has no hedge time.
--- a/crates/pointvane-node/src/head_wait.rs
+++ b/crates/pointvane-node/src/head_wait.rs
@@ -27,7 +27,7 @@
     /// The request id, which the response must repeat.
     pub id: Option<HeaderValue>,
     /// Deadline of the request, in microseconds of the monotonic clock.
-    pub answer_by_us: u64,
+    pub answer_deadline_us: u64,
 }
 
 /// Result of a send, with its connection.
@@ -43,7 +43,11 @@
 ) -> Option<SendResult> {
     let (attempt, sent) = oneshot::channel();
     let round_trip_us = connection.round_trip().as_micros() as u64;
-    let times = SentRequest { sent_at_us: node.now_us(), answer_by_us: awaited.answer_by_us, round_trip_us };
+    let times = SentRequest {
+        sent_at_us: node.now_us(),
+        answer_deadline_us: awaited.answer_deadline_us,
+        round_trip_us,
+    };
     spawn_local(wait(Rc::clone(node), connection, request, awaited, times, attempt));
     sent.await.ok()
 }
@@ -66,7 +70,7 @@
         sent = &mut sending => sent,
         () = attempt.closed() => {
             let now_us = node.now_us();
-            let grace_period = Duration::from_micros(times.heeded_until_us(now_us).saturating_sub(now_us));
+            let grace_period = Duration::from_micros(times.await_head_until_us(now_us).saturating_sub(now_us));
             match timeout(grace_period, sending).await {
                 Ok(sent) => sent,
                 Err(_) => return,
--- a/crates/pointvane-node/src/limit_loop.rs
+++ b/crates/pointvane-node/src/limit_loop.rs
@@ -6,7 +6,7 @@
 
 use {
     crate::node::Node,
-    pointvane_core::{LimitPlace, PlatformAdapter},
+    pointvane_core::{LimitRank, PlatformAdapter},
     pointvane_dispatch::{Forwarder, LIMITS_MAX, LimitAnnouncement, LimitMessage, Segment, UpstreamKey},
     pointvane_mesh::codec,
     std::{collections::HashMap, rc::Rc, time::Duration},
@@ -31,7 +31,7 @@
     membership_changes: u64,
     per_1000_s: Option<u32>,
     doublings: u32,
-    place: Option<LimitPlace>,
+    rank: Option<LimitRank>,
 }
 
 async fn maintain<A: PlatformAdapter>(node: &Node<A>) {
@@ -64,16 +64,16 @@
     for key in limited {
         let Some(inputs) = place_inputs(node, key, now_us) else { continue };
         if inputs_by_upstream.insert(key, inputs) != Some(inputs) {
-            node.dispatcher.pool_mut().set_limit_place(key, inputs.place, now_us);
+            node.dispatcher.pool_mut().set_limit_rank(key, inputs.rank, now_us);
         }
     }
 }
 
 /// Recomputes this node's share of one limit unconditionally.
-pub fn place_limit<A: PlatformAdapter>(node: &Node<A>, key: UpstreamKey) {
+pub fn update_limit_rank<A: PlatformAdapter>(node: &Node<A>, key: UpstreamKey) {
     let now_us = node.now_us();
     if let Some(inputs) = place_inputs(node, key, now_us) {
-        node.dispatcher.pool_mut().set_limit_place(key, inputs.place, now_us);
+        node.dispatcher.pool_mut().set_limit_rank(key, inputs.rank, now_us);
     }
 }
 
@@ -81,12 +81,12 @@
     let pool = node.dispatcher.pool();
     let state = pool.get(key)?;
     let contact = node.fleet.contact(&node.settings(), now_us);
-    let place = || node.fleet.limit_place(state.id(), contact, node.running_ms());
+    let rank = || node.fleet.limit_rank(state.id(), contact, node.running_ms());
     Some(PlaceInputs {
         membership_changes: node.fleet.membership_changes(),
         per_1000_s: state.limit().per_1000_s(),
         doublings: state.limit().doublings(now_us),
-        place: node.lifecycle.is_running().then(place),
+        rank: node.lifecycle.is_running().then(rank),
     })
 }
 
--- a/crates/pointvane-node/src/notices.rs
+++ b/crates/pointvane-node/src/notices.rs
@@ -36,7 +36,7 @@
             self.apply_leaving(key);
         }
         let limits = headers.get_all(&self.headers.request_limit).into_iter().map(|value| value.as_bytes());
-        self.apply_limit(key, LimitNotice::read(limits), sent_at_us);
+        self.apply_limit(key, LimitNotice::parse(limits), sent_at_us);
     }
 
     fn apply_limit(&self, key: UpstreamKey, notice: LimitNotice, sent_at_us: Option<u64>) {
@@ -49,7 +49,7 @@
     /// Reports that an upstream's request limit has changed, and has this node's share of it computed.
     pub fn note_limit(&self, key: UpstreamKey, change: LimitChange) {
         // Done at once, since no request is sent to the upstream until the share is known.
-        limit_loop::place_limit(self, key);
+        limit_loop::update_limit_rank(self, key);
         self.limits_changed.notify_one();
         self.report.limit_changed();
         let per_1000_s = match change {
--- a/crates/pointvane-node/src/operator.rs
+++ b/crates/pointvane-node/src/operator.rs
@@ -109,7 +109,9 @@
         upstream: state.id().to_string(),
         service: state.record.service.to_string(),
         reason: reason.as_str(),
-        back_in_ms: state.back_in_us(HIGHEST_PRIORITY, now_us).map(|back_in_us| back_in_us / US_PER_MS),
+        back_in_ms: state
+            .available_in_us(HIGHEST_PRIORITY, now_us)
+            .map(|available_in_us| available_in_us / US_PER_MS),
     });
     rows.take(STATUS_ROWS_MAX).collect()
 }
@@ -119,13 +121,13 @@
     let pool = node.dispatcher.pool();
     let row = |key| {
         let state = pool.get(key)?;
-        let back_in_us = state.limit().back_in_us(HIGHEST_PRIORITY, now_us);
+        let available_in_us = state.limit().available_in_us(HIGHEST_PRIORITY, now_us);
         Some(LimitedRow {
             upstream: state.id().to_string(),
             service: state.record.service.to_string(),
             per_1000_s: state.limit().per_1000_s()?,
-            part_per_1000_s: (state.limit().part_per_s()? * PER_1000_S) as u32,
-            back_in_ms: back_in_us.map(|back_in_us| back_in_us / US_PER_MS),
+            part_per_1000_s: (state.limit().share_per_s()? * PER_1000_S) as u32,
+            back_in_ms: available_in_us.map(|available_in_us| available_in_us / US_PER_MS),
         })
     };
     pool.limited().into_iter().filter_map(row).take(STATUS_ROWS_MAX).collect()
--- a/crates/pointvane-node/src/request.rs
+++ b/crates/pointvane-node/src/request.rs
@@ -80,7 +80,7 @@
     /// When it arrived, in microseconds of the monotonic clock.
     pub arrived_at_us: u64,
     /// Deadline of the response, in microseconds of the same clock.
-    pub answer_by_us: u64,
+    pub answer_deadline_us: u64,
     /// Upstreams that attempts have chosen so far.
     pub tried: RefCell<Vec<UpstreamKey>>,
     /// Attempts of which at least one byte may have been sent.
--- a/crates/pointvane-node/src/traffic.rs
+++ b/crates/pointvane-node/src/traffic.rs
@@ -17,7 +17,9 @@
         http::request::Parts,
     },
     pointvane_core::{ErrorKind, KeyDigest, PlatformAdapter, RouteKind, US_PER_MS},
-    pointvane_dispatch::{RoutedRequest, answer_by_us, first_state_retry_after_ms, first_state_wait_ms},
+    pointvane_dispatch::{
+        RoutedRequest, answer_deadline_us, first_state_retry_after_ms, first_state_wait_ms,
+    },
     pointvane_telemetry::EventKind,
     std::{
         cell::{Cell, OnceCell, RefCell},
@@ -90,14 +92,15 @@
     let key = node.presented_key(&head.headers);
     let routed = node.authorize(find_route(node, &head)?, key.as_ref())?;
     let charge = node.charge(&routed)?;
-    let answer_by_us = answer_by_us(&routed.route, caller_timeout_ms, origin.at_us);
+    let answer_deadline_us = answer_deadline_us(&routed.route, caller_timeout_ms, origin.at_us);
     let buffered = read_body(node, body).await?;
-    if node.now_us() >= answer_by_us {
+    if node.now_us() >= answer_deadline_us {
         return Err(ErrorKind::DeadlinePassed.into());
     }
     let id = node.headers.request_id_text(&head.headers);
     node.headers.strip_account(&mut head.headers);
-    let request = caller_request(id, head, buffered, Access { routed, key, charge }, origin, answer_by_us);
+    let request =
+        caller_request(id, head, buffered, Access { routed, key, charge }, origin, answer_deadline_us);
     if request.body.is_none() {
         // Computed and cached now, since the first attempt takes the body, which the fingerprints depend on.
         request.fingerprints();
@@ -215,7 +218,7 @@
     buffered: BufferedBody,
     access: Access,
     origin: RequestOrigin,
-    answer_by_us: u64,
+    answer_deadline_us: u64,
 ) -> CallerRequest {
     let mut headers = head.headers;
     strip_hop_by_hop_headers(&mut headers);
@@ -238,7 +241,7 @@
         head_fingerprint_cache: OnceCell::new(),
         fingerprints_cache: OnceCell::new(),
         arrived_at_us: origin.at_us,
-        answer_by_us,
+        answer_deadline_us,
         tried: RefCell::default(),
         sends: Cell::new(0),
         unsent_us: Cell::new(0),
