--- a/crates/pointvane-balance/tests/limits.rs
+++ b/crates/pointvane-balance/tests/limits.rs
@@ -138,7 +138,7 @@
 /// A new limit left the entry VM without a share until ranks were assigned again, up to half a second later,
 /// so that it withheld all requests from the upstream until then.
 #[gtest]
-fn high_limit_withholds_no_requests_before_places_are_assigned() {
+fn high_limit_withholds_no_requests_before_ranks_are_assigned() {
     let limits = FleetLimits { entry_vms_max: ENTRY_VMS as u32, ..FleetLimits::default() };
     let mut balancer: ServiceBalancer<u32> = ServiceBalancer::new(&service(1), &limits, 1, START_US);
     balancer.reported(0, LoadReport::default(), START_US);
--- a/crates/pointvane-core/tests/request_limit.rs
+++ b/crates/pointvane-core/tests/request_limit.rs
@@ -88,7 +88,7 @@
 }
 
 #[gtest]
-fn a_process_without_a_place_or_beyond_the_limit_sends_nothing() {
+fn a_process_without_a_rank_or_beyond_the_limit_sends_nothing() {
     expect_that!(limited(2_500, None).blocks_sends(100 * S), eq(true));
     expect_that!(limited(2_500, limit_rank(3, 18)).blocks_sends(100 * S), eq(true));
     expect_that!(limited(2_500, limit_rank(2, 18)).blocks_sends(100 * S), eq(false));
--- a/crates/pointvane-dispatch/benches/candidate_quantiles.rs
+++ b/crates/pointvane-dispatch/benches/candidate_quantiles.rs
@@ -4,7 +4,7 @@
 
 use {
     pointvane_core::UpstreamRecord,
-    pointvane_dispatch::{AllowedRegions, Pool, RankingOptions, Wanted},
+    pointvane_dispatch::{AllowedRegions, CandidateCriteria, Pool, RankingOptions},
     std::{hint::black_box, time::Instant},
 };
 
@@ -31,8 +31,13 @@
     for size in SIZES {
         let mut pool = Pool::new(RankingOptions::default(), "one".into(), 1);
         (0..size).for_each(|number| _ = pool.upsert(record(number), 0));
-        let criteria =
-            Wanted { priority: 0, tried: &[], body_bytes: 300, count: 6, regions: &AllowedRegions::ANY };
+        let criteria = CandidateCriteria {
+            priority: 0,
+            tried: &[],
+            body_bytes: 300,
+            count: 6,
+            regions: &AllowedRegions::ANY,
+        };
         let service = "dispatch".into();
         let mut rank = || black_box(pool.candidates(&service, &criteria, black_box(NOW_US)));
         let mut times_ns: Vec<u128> = (0..CALLS)
--- a/crates/pointvane-dispatch/benches/candidates.rs
+++ b/crates/pointvane-dispatch/benches/candidates.rs
@@ -4,7 +4,7 @@
 use {
     criterion::{Criterion, criterion_group, criterion_main},
     pointvane_core::UpstreamRecord,
-    pointvane_dispatch::{AllowedRegions, Pool, RankingOptions, Wanted},
+    pointvane_dispatch::{AllowedRegions, CandidateCriteria, Pool, RankingOptions},
     std::hint::black_box,
 };
 
@@ -31,8 +31,13 @@
     for size in SIZES {
         let mut pool = Pool::new(RankingOptions::default(), DATA_CENTRES[0].into(), 1);
         (0..size).for_each(|number| _ = pool.upsert(record(number), 0));
-        let criteria =
-            Wanted { priority: 0, tried: &[], body_bytes: 300, count: 6, regions: &AllowedRegions::ANY };
+        let criteria = CandidateCriteria {
+            priority: 0,
+            tried: &[],
+            body_bytes: 300,
+            count: 6,
+            regions: &AllowedRegions::ANY,
+        };
         criterion.bench_function(&format!("candidates of {size} upstreams"), |bencher| {
             bencher.iter(|| black_box(pool.candidates(&"dispatch".into(), &criteria, black_box(NOW_US))));
         });
--- a/crates/pointvane-dispatch/benches/quota_quantiles.rs
+++ b/crates/pointvane-dispatch/benches/quota_quantiles.rs
@@ -4,7 +4,7 @@
 
 use {
     pointvane_core::{Name, Quota},
-    pointvane_dispatch::{AccountShare, FleetContact, Quotas},
+    pointvane_dispatch::{AccountShare, FleetView, Quotas},
     std::{hint::black_box, net::SocketAddr, time::Instant},
 };
 
@@ -14,7 +14,7 @@
 const WINDOW_US: u64 = 5_000_000;
 const CALL_INTERVAL_US: u64 = 50;
 const QUOTA: Quota = Quota { requests_per_1000_s: 8_000_000, burst: 8_000 };
-const CONTACT: FleetContact = FleetContact { connected: true, nodes: Some(586), reachable_share: 1.0 };
+const FLEET_VIEW: FleetView = FleetView { connected: true, nodes: Some(586), reachable_share: 1.0 };
 
 fn main() {
     for account_count in ACCOUNTS {
@@ -30,20 +30,20 @@
             retry_after_ms: 400,
         };
         accounts.iter().for_each(|account| quotas.receive_shares(origin, &[share(account)], now_us));
-        accounts.iter().for_each(|account| _ = quotas.admit(account, QUOTA, CONTACT, now_us, 0.5));
+        accounts.iter().for_each(|account| _ = quotas.admit(account, QUOTA, FLEET_VIEW, now_us, 0.5));
         let mut times_ns: Vec<u128> = (0..CALLS)
             .map(|call| {
                 now_us += CALL_INTERVAL_US;
                 let account = &accounts[call % account_count];
                 let began = Instant::now();
-                black_box(quotas.admit(black_box(account), QUOTA, CONTACT, now_us, 0.5));
+                black_box(quotas.admit(black_box(account), QUOTA, FLEET_VIEW, now_us, 0.5));
                 began.elapsed().as_nanos()
             })
             .collect();
         times_ns.sort_unstable();
         let quantile = |share: usize| times_ns[CALLS * share / 100];
         let allocated = allocation_counter::measure(|| {
-            black_box(quotas.admit(&accounts[0], QUOTA, CONTACT, now_us, 0.5));
+            black_box(quotas.admit(&accounts[0], QUOTA, FLEET_VIEW, now_us, 0.5));
         });
         println!(
             "{account_count} accounts: p50 {} ns, p99 {} ns, {} allocations",
--- a/crates/pointvane-dispatch/src/access.rs
+++ b/crates/pointvane-dispatch/src/access.rs
@@ -78,7 +78,7 @@
 /// # Errors
 ///
 /// [`ErrorKind::AccountsUnconfirmed`] if the maximum is exceeded or the accounts were never confirmed.
-pub fn confirm(
+pub fn check_confirmed(
     account: Option<&AccountRule>,
     confirmation_age: Option<Duration>,
     max_confirmation_age: Option<Duration>,
--- a/crates/pointvane-dispatch/src/admission.rs
+++ b/crates/pointvane-dispatch/src/admission.rs
@@ -5,8 +5,8 @@
 //! never refused here. Inputs: the time since the request arrived (monotonic clock, without the time spent on
 //! unreachable upstreams), the expected latency at the best upstream, whether that upstream has a free slot,
 //! how much full upstreams of the service slow down, and the route's target latency and priority. Every
-//! estimate has an initial value (see [`crate::RouteTimes`], [`crate::Pool::load_when_sent`],
-//! [`crate::Pool::has_room`] and [`crate::Pool::full_factor`]), so no input can be missing.
+//! estimate has an initial value (see [`crate::RouteLatencies`], [`crate::Pool::load_when_sent`],
+//! [`crate::Pool::has_capacity`] and [`crate::Pool::full_slowdown`]), so no input can be missing.
 //!
 //! A request that would miss its target by far only delays the others, so it is refused early enough for its
 //! caller to retry in time. Less urgent requests are refused first. Tests:
@@ -83,26 +83,26 @@
     /// Time since the request arrived, without the time spent on unreachable upstreams, in milliseconds.
     pub elapsed_ms: f64,
     /// Expected latency at the best upstream, in milliseconds.
-    pub expected_ms: f64,
+    pub expected_latency_ms: f64,
     /// Share of that upstream's slots that are in use, counting this request; over 1 if the request would be
     /// queued.
     pub occupancy: f64,
     /// Ratio of the latency at a fully occupied upstream of the service to that at an idle one.
-    pub full_factor: f64,
+    pub full_slowdown: f64,
 }
 
 impl FinishEstimate {
     /// Whether the request would meet its target although it is queued at a fully occupied upstream.
     fn meets_target_when_queued(&self, route: &RouteRule) -> bool {
-        let finish_ms = self.elapsed_ms + self.expected_ms;
+        let finish_ms = self.elapsed_ms + self.expected_latency_ms;
         let meets_target =
-            finish_ms * self.full_factor.max(QUEUED_FINISH_FACTOR_MIN) <= route.target_latency_ms as f64;
+            finish_ms * self.full_slowdown.max(QUEUED_FINISH_FACTOR_MIN) <= route.target_latency_ms as f64;
         meets_target && self.occupancy <= QUEUED_OCCUPANCY_MAX
     }
 }
 
 impl AdmissionPolicy {
-    /// Whether a request is sent to the best upstream that was found; `has_room` says whether that has a free
+    /// Whether a request is sent to the best upstream that was found; `has_capacity` says whether that has a free
     /// slot.
     ///
     /// Without a free slot the request is sent only if it is expected to meet its target from the upstream's
@@ -112,14 +112,14 @@
     /// third of the target, refusing instead of queueing made 749 of 4,234 requests late within two seconds
     /// of a burst. Where full upstreams slow down, a queue bounded by the target alone makes more requests
     /// late than refusing them.
-    pub fn admits(&self, route: &RouteRule, estimate: &FinishEstimate, has_room: bool) -> bool {
-        (has_room || estimate.meets_target_when_queued(route)) && !self.is_too_late(route, estimate)
+    pub fn admits(&self, route: &RouteRule, estimate: &FinishEstimate, has_capacity: bool) -> bool {
+        (has_capacity || estimate.meets_target_when_queued(route)) && !self.is_too_late(route, estimate)
     }
 
     /// Whether a request would finish so late that it is refused instead of sent.
     pub fn is_too_late(&self, route: &RouteRule, estimate: &FinishEstimate) -> bool {
         let share = self.target_share - self.rank_step * f64::from(route.priority);
-        let finish_ms = estimate.elapsed_ms + estimate.expected_ms;
+        let finish_ms = estimate.elapsed_ms + estimate.expected_latency_ms;
         finish_ms > route.target_latency_ms as f64 * share
     }
 }
--- a/crates/pointvane-dispatch/src/attempts.rs
+++ b/crates/pointvane-dispatch/src/attempts.rs
@@ -3,7 +3,7 @@
 //!
 //! It tracks the attempts of the request. Its caller makes the attempts, keeps the best answer, and reports
 //! the end of each attempt, the time to hedge and the deadline; the machine returns the next step. It reads
-//! no clock: the times come from [`crate::answer_deadline_us`] and [`crate::RouteTimes::hedge_after_ms`].
+//! no clock: the times come from [`crate::answer_deadline_us`] and [`crate::RouteLatencies::hedge_after_ms`].
 //! `retry.rs` decides on each single outcome. Tests: `tests/request_attempts.rs`.
 
 use {
@@ -11,7 +11,7 @@
         budget::RetryBudget,
         ineligible::Ineligible,
         outcome::AttemptOutcome,
-        retry::{Verdict, judge},
+        retry::{RetryDecision, decide_retry},
     },
     pointvane_core::{ErrorKind, Outcome, RouteRule},
 };
@@ -35,7 +35,7 @@
     /// No search was made: no upstream can finish the request before its deadline.
     DeadlineTooNear,
     /// An upstream was chosen; holds the outcome.
-    Tried(AttemptOutcome),
+    Attempted(AttemptOutcome),
 }
 
 /// Next step of a request, to be carried out by the caller of the state machine.
@@ -86,13 +86,13 @@
 
     /// Records whether a streamed body is still unsent. To be called before the end of an attempt is reported
     /// that may not have started to send it.
-    pub fn streamed_body_left(&mut self, is_unsent: bool) {
+    pub fn set_streamed_body_unsent(&mut self, is_unsent: bool) {
         self.is_body_sendable = self.is_body_buffered || is_unsent;
     }
 
     /// Records the end of an attempt and returns the next step; `sends` is the number of attempts of this
     /// request that were sent so far.
-    pub fn ended(&mut self, end: AttemptEnd, sends: u32, budget: &mut RetryBudget) -> NextStep {
+    pub fn attempt_ended(&mut self, end: AttemptEnd, sends: u32, budget: &mut RetryBudget) -> NextStep {
         self.in_flight -= 1;
         self.refund_unsent_hedge(end, budget);
         let outcome = match end {
@@ -103,21 +103,21 @@
                 return self.record_unsent(ErrorKind::UpstreamTimeout);
             }
             AttemptEnd::DeadlineTooNear => return self.record_unsent(ErrorKind::DeadlinePassed),
-            AttemptEnd::Tried(outcome) => outcome,
+            AttemptEnd::Attempted(outcome) => outcome,
         };
         self.may_have_run |= outcome.may_have_run();
         self.unsent_attempts += u32::from(outcome.is_unsent());
         self.has_upstream_answer |= matches!(outcome, AttemptOutcome::Answered { .. });
-        match self.verdict(outcome, self.has_attempts_left(sends)) {
-            Verdict::Deliver => NextStep::Deliver,
-            Verdict::Retry { .. } if self.in_flight > 0 => NextStep::Wait,
-            Verdict::Retry { takes_token } => self.retry(outcome, takes_token, budget),
-            Verdict::GiveUp(error) => self.give_up_if_last(error),
+        match self.decision(outcome, self.has_attempts_left(sends)) {
+            RetryDecision::Deliver => NextStep::Deliver,
+            RetryDecision::Retry { .. } if self.in_flight > 0 => NextStep::Wait,
+            RetryDecision::Retry { takes_token } => self.retry(outcome, takes_token, budget),
+            RetryDecision::GiveUp(error) => self.give_up_if_last(error),
         }
     }
 
     /// Decides, when a hedge is due, whether it is made; if so, takes a token of `budget` for it.
-    pub fn hedge_due(&mut self, sends: u32, budget: &mut RetryBudget) -> NextStep {
+    pub fn try_hedge(&mut self, sends: u32, budget: &mut RetryBudget) -> NextStep {
         if self.in_flight != 1 || !self.is_body_buffered || !self.has_attempts_left(sends) || !budget.take() {
             return NextStep::Wait;
         }
@@ -129,7 +129,7 @@
     /// Refunds the token of a hedge when one of the two attempts ends without having been sent, since nothing
     /// was then sent twice.
     fn refund_unsent_hedge(&mut self, end: AttemptEnd, budget: &mut RetryBudget) {
-        let is_unsent = !matches!(end, AttemptEnd::Tried(outcome) if !outcome.is_unsent());
+        let is_unsent = !matches!(end, AttemptEnd::Attempted(outcome) if !outcome.is_unsent());
         if self.has_hedge_token && is_unsent {
             budget.refund();
         }
@@ -142,8 +142,8 @@
         self.give_up(ErrorKind::UpstreamTimeout)
     }
 
-    fn verdict(&self, outcome: AttemptOutcome, has_attempts_left: bool) -> Verdict {
-        judge(self.route.kind, outcome, self.may_have_run, has_attempts_left)
+    fn decision(&self, outcome: AttemptOutcome, has_attempts_left: bool) -> RetryDecision {
+        decide_retry(self.route.kind, outcome, self.may_have_run, has_attempts_left)
     }
 
     fn has_attempts_left(&self, sends: u32) -> bool {
@@ -166,9 +166,9 @@
     /// Returns the final step if only the retry budget prevents another attempt; the same as with no attempts
     /// left.
     fn give_up_without_token(&self, outcome: AttemptOutcome) -> NextStep {
-        match self.verdict(outcome, false) {
-            Verdict::GiveUp(error) => self.give_up(error),
-            Verdict::Deliver | Verdict::Retry { .. } => self.give_up(ErrorKind::UpstreamBroken),
+        match self.decision(outcome, false) {
+            RetryDecision::GiveUp(error) => self.give_up(error),
+            RetryDecision::Deliver | RetryDecision::Retry { .. } => self.give_up(ErrorKind::UpstreamBroken),
         }
     }
 
--- a/crates/pointvane-dispatch/src/budget.rs
+++ b/crates/pointvane-dispatch/src/budget.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct NodeBudgets {
     probes: ProbeBudget,
-    retries: HashMap<Name, RetryBudget>,
+    retry_budgets: HashMap<Name, RetryBudget>,
     /// Largest number of nodes ever seen at once, at least [`NODES_MIN`].
     nodes: usize,
 }
@@ -38,15 +38,15 @@
 impl NodeBudgets {
     /// Creates empty shares; `now_us` is the monotonic clock, in microseconds.
     pub fn new(now_us: u64) -> Self {
-        Self { probes: ProbeBudget::new(now_us), retries: HashMap::new(), nodes: NODES_MIN }
+        Self { probes: ProbeBudget::new(now_us), retry_budgets: HashMap::new(), nodes: NODES_MIN }
     }
 
     /// Recomputes the shares for the number of nodes visible now or the largest seen before, whichever is
     /// greater. `now_us` is the monotonic clock, in microseconds.
-    pub fn divide(&mut self, nodes: usize, upstreams: usize, limits: &BudgetLimits, now_us: u64) {
+    pub fn set_fleet_size(&mut self, nodes: usize, upstreams: usize, limits: &BudgetLimits, now_us: u64) {
         self.nodes = self.nodes.max(nodes);
         self.probes.set(limits.probes_per_upstream_per_s, upstreams, self.nodes, now_us);
-        self.retries.values_mut().for_each(|budget| budget.set_nodes(self.nodes));
+        self.retry_budgets.values_mut().for_each(|budget| budget.set_nodes(self.nodes));
     }
 
     /// The largest number of nodes ever seen at once, at least `NODES_MIN`.
@@ -55,9 +55,9 @@
     }
 
     /// This node's share of the retry budget of a service.
-    pub fn retries(&mut self, service: &Name, limits: &BudgetLimits) -> &mut RetryBudget {
+    pub fn retry_budget(&mut self, service: &Name, limits: &BudgetLimits) -> &mut RetryBudget {
         let nodes = self.nodes;
-        self.retries.entry(service.clone()).or_insert_with(|| {
+        self.retry_budgets.entry(service.clone()).or_insert_with(|| {
             let (ratio, slack) = (limits.retry_ratio, limits.retry_slack);
             RetryBudget::new(RetryBudgetOptions { ratio, slack, ..RetryBudgetOptions::default() }, nodes)
         })
--- a/crates/pointvane-dispatch/src/ejection.rs
+++ b/crates/pointvane-dispatch/src/ejection.rs
@@ -6,7 +6,7 @@
 //! and `standins/tests/platform_node.rs`, the latter with an upstream that passes its probes but never
 //! answers requests.
 
-use crate::outcome::{AttemptOutcome, Refusal};
+use crate::outcome::{AttemptOutcome, NotRunReason};
 
 /// Consecutive failures that eject an upstream.
 const FAILURES_TO_EJECT: u32 = 3;
@@ -47,7 +47,7 @@
     /// A different upstream answered at its address.
     OtherUpstream,
     /// No answer came on a reused connection: the connection may be dead while a new one would work.
-    KeptConnectionSilent,
+    ReusedConnectionSilent,
     /// No answer came within the timeout on a new connection, or the connection failed.
     NoAnswer {
         /// Time since the probe was sent, in microseconds.
@@ -63,7 +63,7 @@
     Success,
     Failure,
     Eject,
-    Nothing,
+    Ignore,
 }
 
 impl AttemptOutcome {
@@ -71,15 +71,15 @@
         match self {
             Self::Answered { failed: false } => Effect::Success,
             // Another upstream uses the address now, or none does; the platform will report that soon.
-            Self::NotRun(Refusal::Misdirected) | Self::Unreachable => Effect::Eject,
+            Self::NotRun(NotRunReason::Misdirected) | Self::Unreachable => Effect::Eject,
             // An upstream that rejects requests despite free slots looks idle and would attract more of them,
             // so its rejections count against its load report.
-            Self::NotRun(Refusal::BusyWithRoom) => Effect::Failure,
+            Self::NotRun(NotRunReason::BusyWithRoom) => Effect::Failure,
             // A busy upstream is not failing; its load report already lowers its rank.
-            Self::NotRun(Refusal::Busy | Refusal::Other)
+            Self::NotRun(NotRunReason::Busy | NotRunReason::Other)
             | Self::Withheld(_)
             | Self::Quarantined
-            | Self::Unauthorized => Effect::Nothing,
+            | Self::Unauthorized => Effect::Ignore,
             Self::Answered { failed: true }
             | Self::Unsent
             | Self::Broken
@@ -93,11 +93,11 @@
     pub(crate) const fn effect(self) -> Effect {
         match self {
             // An answered probe does not offset failed requests.
-            Self::Healthy | Self::KeptConnectionSilent => Effect::Nothing,
+            Self::Healthy | Self::ReusedConnectionSilent => Effect::Ignore,
             Self::Unhealthy => Effect::Failure,
             Self::OtherUpstream => Effect::Eject,
             Self::NoAnswer { waited_us, timeout_us } if waited_us > LOCAL_PAUSE_TIMEOUTS * timeout_us => {
-                Effect::Nothing
+                Effect::Ignore
             }
             Self::NoAnswer { .. } => Effect::Failure,
         }
@@ -119,7 +119,7 @@
             Effect::Success => self.record_success(),
             Effect::Failure => self.record_failure(now_us),
             Effect::Eject => self.eject(now_us),
-            Effect::Nothing => {}
+            Effect::Ignore => {}
         }
     }
 
--- a/crates/pointvane-dispatch/src/eligibility.rs
+++ b/crates/pointvane-dispatch/src/eligibility.rs
@@ -10,7 +10,7 @@
 
 use {
     crate::{
-        allowed_regions::AllowedRegions, ineligible::Ineligible, pool::Pool, ranking::Wanted,
+        allowed_regions::AllowedRegions, ineligible::Ineligible, pool::Pool, ranking::CandidateCriteria,
         upstream::UpstreamState, upstream_key::UpstreamKey,
     },
     pointvane_core::Name,
@@ -78,7 +78,12 @@
 
     /// Why a service has no upstream left for a request. Upstreams that it was sent to before are not
     /// considered; [`Ineligible::Gone`] if no other is known.
-    pub fn no_upstream_reason(&self, service: &Name, criteria: &Wanted<'_>, now_us: u64) -> Ineligible {
+    pub fn no_upstream_reason(
+        &self,
+        service: &Name,
+        criteria: &CandidateCriteria<'_>,
+        now_us: u64,
+    ) -> Ineligible {
         let of_service = |(key, state): &(&UpstreamKey, &UpstreamState)| {
             state.record.service == *service && !criteria.tried.contains(key)
         };
--- a/crates/pointvane-dispatch/src/fingerprint.rs
+++ b/crates/pointvane-dispatch/src/fingerprint.rs
@@ -67,7 +67,7 @@
     }
 
     /// Combines this fingerprint with those of the query and the body.
-    pub fn with_rest(self, query: QueryScope<'_>, body: BodyFingerprint) -> RequestFingerprint {
+    pub fn with_query_and_body(self, query: QueryScope<'_>, body: BodyFingerprint) -> RequestFingerprint {
         /// Hashed in place of the length of a query; no query is this long.
         const NO_QUERY_TAG: u64 = u64::MAX;
         const ANY_QUERY_TAG: u64 = u64::MAX - 1;
--- a/crates/pointvane-dispatch/src/first_state.rs
+++ b/crates/pointvane-dispatch/src/first_state.rs
@@ -6,7 +6,7 @@
 //! callers retry only a few times. Requests are therefore held until the node can route them. Inputs: the
 //! time since the node's start, the time that the caller says it will wait, and a setting. A node that has no
 //! state once the configured time is over refuses at once. Test:
-//! `a_request_is_held_while_a_node_that_has_just_started_learns_what_to_do`.
+//! `requests_are_held_while_a_starting_node_waits_for_its_first_state`.
 
 use crate::admission::RETRY_AFTER_DEFAULT_MS;
 
@@ -21,12 +21,12 @@
 /// once.
 ///
 /// `start_wait_ms` is the time after the node's start until which requests are held, `running_ms` the time
-/// since that start, and `caller_waits_ms` the time that the caller says it will wait. Of 7,063 requests in
+/// since that start, and `caller_timeout_ms` the time that the caller says it will wait. Of 7,063 requests in
 /// the four seconds around a power loss of all 472 nodes, 613 were finally refused without this wait and none
 /// with it; 4,066 and 4,357, respectively, were answered within their target latency.
-pub fn first_state_wait_ms(start_wait_ms: u64, running_ms: u64, caller_waits_ms: Option<u64>) -> u64 {
+pub fn first_state_wait_ms(start_wait_ms: u64, running_ms: u64, caller_timeout_ms: Option<u64>) -> u64 {
     let wait_ms = start_wait_ms.saturating_sub(running_ms);
-    caller_waits_ms.map_or(wait_ms, |caller_ms| wait_ms.min(caller_ms / CALLER_WAIT_DIVISOR))
+    caller_timeout_ms.map_or(wait_ms, |caller_ms| wait_ms.min(caller_ms / CALLER_WAIT_DIVISOR))
 }
 
 /// The retry time for a caller refused by a node without platform state, in milliseconds: the time that the
--- a/crates/pointvane-dispatch/src/latency.rs
+++ b/crates/pointvane-dispatch/src/latency.rs
@@ -36,7 +36,7 @@
 
 /// Tracks the minimum of the recent latencies.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LeastLatency {
+pub struct MinimumLatency {
     minimum_ms: Option<f64>,
 }
 
@@ -44,7 +44,7 @@
 /// about the last hundred latencies count.
 const MINIMUM_RISE_SHARE: f64 = 0.01;
 
-impl LeastLatency {
+impl MinimumLatency {
     /// Records one latency, in milliseconds.
     pub fn record(&mut self, latency_ms: f64) {
         let raised_ms =
--- a/crates/pointvane-dispatch/src/lib.rs
+++ b/crates/pointvane-dispatch/src/lib.rs
@@ -59,7 +59,7 @@
 mod records;
 mod replica;
 mod retry;
-mod route_times;
+mod route_latencies;
 mod routes;
 mod search;
 mod service_state;
@@ -69,7 +69,7 @@
 mod warm_up;
 
 pub use {
-    access::{AccountTable, account_of, confirm},
+    access::{AccountTable, account_of, check_confirmed},
     admission::{AdmissionPolicy, FinishEstimate, RETRY_AFTER_DEFAULT_MS, RefusedBy, retry_after_ms},
     allowed_regions::AllowedRegions,
     attempts::{AttemptEnd, NextStep, RequestAttempts},
@@ -82,26 +82,27 @@
     first_state::{first_state_retry_after_ms, first_state_wait_ms},
     hedge::hedge_goal,
     ineligible::Ineligible,
-    latency::{LatencyQuantile, LeastLatency},
+    latency::{LatencyQuantile, MinimumLatency},
     limits::{LIMITS_MAX, LimitAnnouncement, LimitMessage},
     load_curve::LoadCurve,
     load_when_sent::LoadWhenSent,
     notices::WithheldService,
-    outcome::{AttemptOutcome, Refusal},
-    pipeline::{PipelineLimits, starts_early},
+    outcome::{AttemptOutcome, NotRunReason},
+    pipeline::{PipelineLimits, may_forward_early},
     pool::Pool,
     quarantine::{
-        CrashId, NEWS_MAX, NewsBudget, Quarantine, QuarantineChange, QuarantineMessage, QuarantineOptions,
-        SuspectNews, TrialTurn,
+        BroadcastBudget, CrashId, Quarantine, QuarantineChange, QuarantineMessage, QuarantineOptions,
+        SUSPECTS_PER_DATAGRAM_MAX, SuspectReport, TrialPosition,
     },
     quota::{
-        ACCOUNTS_MAX, AccountShare, AccountUsage, FleetContact, QuotaDecision, QuotaMessage, Quotas, ToldUse,
+        ACCOUNTS_PER_DATAGRAM_MAX, AccountShare, AccountUsage, FleetUsage, FleetView, QuotaDecision,
+        QuotaMessage, Quotas,
     },
-    ranking::Wanted,
+    ranking::CandidateCriteria,
     ranking_options::{Ranking, RankingOptions},
     replica::{
         fan_out::{
-            DIRECT_MAX, FAN_OUT, Forwarder, OrderedNode, ReceivedRounds, Segment, broadcast_position,
+            DIRECT_SEND_MAX, FAN_OUT, Forwarder, OrderedNode, ReceivedRounds, Segment, broadcast_position,
             fan_out, forwarders,
         },
         query_order::{Broadcaster, QueryCandidate, earlier_peer, query_position},
@@ -113,12 +114,12 @@
         relay::{Relay, RelayDatagram, RelayLog, WireRelay},
         routing_log::RoutingLog,
         state_query::{
-            ConfigurationUpdate, KnownState, StateOffer, StateReply, StateRequest, WholeStateLimit,
-            is_answer_sent,
+            ConfigurationUpdate, FullStateLimit, KnownState, StateOffer, StateReply, StateRequest,
+            fits_reply_limit,
         },
     },
-    retry::{Verdict, judge, may_pass_on},
-    route_times::RouteTimes,
+    retry::{RetryDecision, decide_retry, may_relay},
+    route_latencies::RouteLatencies,
     routes::{RouteTable, RoutedRequest},
     search::{
         Found, PROBE_TIMEOUT_US, Search, SearchGoal, SearchOptions, SearchRequest, SearchStep, search_time_ms,
--- a/crates/pointvane-dispatch/src/limits.rs
+++ b/crates/pointvane-dispatch/src/limits.rs
@@ -12,7 +12,7 @@
 
 use {
     crate::{
-        pool::Pool, ranking::Wanted, replica::fan_out::Segment, upstream::UpstreamState,
+        pool::Pool, ranking::CandidateCriteria, replica::fan_out::Segment, upstream::UpstreamState,
         upstream_key::UpstreamKey,
     },
     pointvane_core::{
@@ -151,14 +151,19 @@
 
     /// Returns an upstream of the service to which the next request should be sent to learn whether its limit
     /// still applies.
-    pub fn limit_to_refresh(&self, service: &Name, wanted: &Wanted<'_>, now_us: u64) -> Option<UpstreamKey> {
+    pub fn limit_to_refresh(
+        &self,
+        service: &Name,
+        criteria: &CandidateCriteria<'_>,
+        now_us: u64,
+    ) -> Option<UpstreamKey> {
         self.limited.iter().copied().find(|key| {
             let is_due = |state: &UpstreamState| {
                 state.record.service == *service && state.limit().is_refresh_due(now_us)
             };
             self.upstreams.get(key).is_some_and(is_due)
                 && self.eligibility(*key, now_us).is_ok()
-                && self.suits(*key, wanted, now_us)
+                && self.meets_criteria(*key, criteria, now_us)
         })
     }
 
--- a/crates/pointvane-dispatch/src/outcome.rs
+++ b/crates/pointvane-dispatch/src/outcome.rs
@@ -4,7 +4,7 @@
 
 /// Why an upstream reports that it did not run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum NotRunReason {
     /// It has no free slot, or the request's deadline passed in its queue.
     Busy,
     /// It reports no free slot, although its load report right before the send had one.
@@ -24,7 +24,7 @@
         failed: bool,
     },
     /// The upstream reports that it did not run the request.
-    NotRun(Refusal),
+    NotRun(NotRunReason),
     /// Nothing was sent: a reused connection had been closed.
     Unsent,
     /// Nothing was sent: no connection could be opened.
@@ -52,11 +52,11 @@
     }
 
     /// Refines the outcome by the load of the upstream that was known when the request was sent: a busy
-    /// upstream that had a free slot by its current report is [`Refusal::BusyWithRoom`].
-    pub fn in_light_of(self, sent: &LoadWhenSent) -> Self {
+    /// upstream that had a free slot by its current report is [`NotRunReason::BusyWithRoom`].
+    pub fn given_load(self, sent: &LoadWhenSent) -> Self {
         match self {
-            Self::NotRun(Refusal::Busy) if sent.is_current && sent.occupancy <= 1.0 => {
-                Self::NotRun(Refusal::BusyWithRoom)
+            Self::NotRun(NotRunReason::Busy) if sent.is_current && sent.occupancy <= 1.0 => {
+                Self::NotRun(NotRunReason::BusyWithRoom)
             }
             outcome => outcome,
         }
@@ -64,7 +64,7 @@
 
     /// Whether sending to the upstream had begun; a request whose deadline had passed by then counts as not
     /// begun.
-    pub const fn was_begun(self) -> bool {
+    pub const fn send_started(self) -> bool {
         matches!(self, Self::Answered { .. } | Self::NotRun(_) | Self::Unsent | Self::Broken | Self::Crashed)
     }
 
@@ -81,10 +81,10 @@
         match self {
             Self::Answered { failed: false } => "answered",
             Self::Answered { failed: true } => "answered-error",
-            Self::NotRun(Refusal::Busy) => "not-run-busy",
-            Self::NotRun(Refusal::BusyWithRoom) => "not-run-with-room",
-            Self::NotRun(Refusal::Misdirected) => "not-run-misdirected",
-            Self::NotRun(Refusal::Other) => "not-run",
+            Self::NotRun(NotRunReason::Busy) => "not-run-busy",
+            Self::NotRun(NotRunReason::BusyWithRoom) => "not-run-with-room",
+            Self::NotRun(NotRunReason::Misdirected) => "not-run-misdirected",
+            Self::NotRun(NotRunReason::Other) => "not-run",
             Self::Unsent => "unsent",
             Self::Unreachable => "unreachable",
             Self::Withheld(Ineligible::Gone) => "withheld-gone",
--- a/crates/pointvane-dispatch/src/pipeline.rs
+++ b/crates/pointvane-dispatch/src/pipeline.rs
@@ -22,7 +22,7 @@
 ///
 /// Without this, requests that a caller sends together would each wait for the service times of all those
 /// ahead.
-pub fn starts_early(
+pub fn may_forward_early(
     kind: RouteKind,
     ahead: impl IntoIterator<Item = RouteKind>,
     limits: &PipelineLimits,
--- a/crates/pointvane-dispatch/src/pool.rs
+++ b/crates/pointvane-dispatch/src/pool.rs
@@ -130,7 +130,7 @@
     ///
     /// Before `grace_until_us` the entry may only have expired while the store was unavailable, so the
     /// upstream stays in use until then, unless it was draining or leaving.
-    pub fn entry_removed(&mut self, id: &Name, grace_until_us: u64, now_us: u64) -> bool {
+    pub fn handle_entry_removal(&mut self, id: &Name, grace_until_us: u64, now_us: u64) -> bool {
         let state = self.by_id.get(id).and_then(|key| self.upstreams.get_mut(key));
         if now_us < grace_until_us
             && let Some(state) = state.filter(|state| !state.record.draining && !state.notices.is_leaving)
@@ -142,7 +142,7 @@
     }
 
     /// Removes upstreams whose grace period is over; returns their identities.
-    pub fn forget_expired(&mut self, now_us: u64) -> Vec<Name> {
+    pub fn remove_expired(&mut self, now_us: u64) -> Vec<Name> {
         let is_expired =
             |state: &&UpstreamState| state.grace_until_us.is_some_and(|until_us| now_us >= until_us);
         let expired: Vec<Name> =
@@ -172,7 +172,7 @@
 
     /// Sets the deployment's bound on requests to cold upstreams, and the largest number of nodes ever seen
     /// at once.
-    pub fn share_warm_up(&mut self, bound: WarmUpBound, nodes: usize, now_us: u64) {
+    pub fn set_warm_up_bound(&mut self, bound: WarmUpBound, nodes: usize, now_us: u64) {
         self.warm_up.set_bound(bound, nodes, now_us);
     }
 
@@ -220,12 +220,12 @@
     }
 
     /// The state of the platform as a list of changes, without upstreams in their grace period.
-    pub fn listed(&self) -> impl Iterator<Item = Change> {
+    pub fn listed_changes(&self) -> impl Iterator<Item = Change> {
         self.records().cloned().map(Change::Upstream).chain(self.evacuation_changes())
     }
 
     /// The known state as a list of changes, including upstreams in their grace period.
-    pub fn known(&self) -> impl Iterator<Item = Change> {
+    pub fn known_changes(&self) -> impl Iterator<Item = Change> {
         let known = self.upstreams.values().map(|state| Change::Upstream(state.record.clone()));
         known.chain(self.evacuation_changes())
     }
--- a/crates/pointvane-dispatch/src/quarantine.rs
+++ b/crates/pointvane-dispatch/src/quarantine.rs
@@ -3,8 +3,7 @@
 //!
 //! A crash may be caused by the request instead of the upstream. When each node tracked only upstream health,
 //! and only from its own observations, one read request crashed 50 upstream processes of a service with 28
-//! upstreams, one or two through each node that received it
-//! (docs/incidents/2026-12-03-requests-that-crash-upstreams.md).
+//! upstreams, one or two through each node that received it.
 //!
 //! The check runs before each search for an upstream and again immediately before each send, so that queued,
 //! hedged, retried and early-forwarded requests, and those whose search is in progress, respect evidence that
@@ -23,15 +22,15 @@
 //! unless an upstream has crashed while running it (`tests/quarantine.rs`). Fleet simulations:
 //! `tests/quarantine_fleet.rs`; alternatives considered: docs/design/crashing-requests.md.
 
+mod broadcast_budget;
 mod crash_history;
-mod news;
-mod news_budget;
-mod spread;
+mod gossip;
+mod messages;
 
 pub use {
+    broadcast_budget::BroadcastBudget,
     crash_history::CrashId,
-    news::{NEWS_MAX, QuarantineMessage, SuspectNews},
-    news_budget::NewsBudget,
+    messages::{QuarantineMessage, SUSPECTS_PER_DATAGRAM_MAX, SuspectReport},
 };
 
 use {
@@ -93,7 +92,7 @@
 
 /// Position of this node in the order in which nodes may try a request after its hold time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TrialTurn {
+pub struct TrialPosition {
     /// Position from 0 to 1, derived from the request and the node so that the order of nodes differs between
     /// requests.
     pub position: f64,
@@ -165,14 +164,14 @@
 
     /// Returns true if a tracked request has this head. Cheap, and false for nearly all requests; `head` is
     /// only evaluated if any request is tracked.
-    pub fn may_know(&self, head: impl FnOnce() -> HeadFingerprint) -> bool {
+    pub fn tracks_head(&self, head: impl FnOnce() -> HeadFingerprint) -> bool {
         !self.suspects_per_head.is_empty() && self.suspects_per_head.contains_key(&head())
     }
 
     /// Returns true if a request must not be sent now.
-    pub fn refuses(&self, request: &RequestFingerprint, turn: &TrialTurn, now_us: u64) -> bool {
+    pub fn refuses(&self, request: &RequestFingerprint, trial_position: &TrialPosition, now_us: u64) -> bool {
         let suspect = self.suspects.get(request);
-        suspect.is_some_and(|suspect| self.is_blocked(suspect, turn, now_us as i64))
+        suspect.is_some_and(|suspect| self.is_blocked(suspect, trial_position, now_us as i64))
     }
 
     /// Records that a request is being sent after [`Quarantine::refuses`] returned false. If it is a trial,
@@ -187,7 +186,7 @@
     }
 
     /// Records that an upstream crashed at `ended_at_us` while running a request sent at `began_at_us`.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         request: RequestFingerprint,
         began_at_us: u64,
@@ -208,7 +207,7 @@
     }
 
     /// Records that a request completed successfully.
-    pub fn survived(&mut self, request: RequestFingerprint, now_us: u64) -> Option<QuarantineChange> {
+    pub fn record_success(&mut self, request: RequestFingerprint, now_us: u64) -> Option<QuarantineChange> {
         let suspect = self.suspects.get_mut(&request)?;
         if suspect.history.record_success(now_us as i64) {
             suspect.rounds_left = GOSSIP_ROUNDS;
@@ -218,16 +217,16 @@
     }
 
     /// Merges evidence received from another node and returns the resulting changes.
-    pub fn receive(&mut self, news: &[SuspectNews], now_us: u64) -> Vec<QuarantineChange> {
+    pub fn receive(&mut self, reports: &[SuspectReport], now_us: u64) -> Vec<QuarantineChange> {
         if self.options.after_crashes == 0 {
             return Vec::new();
         }
-        let changes = news.iter().filter_map(|news| {
-            let suspect = self.suspect(news.request);
-            if news.apply(&mut suspect.history, now_us as i64) {
+        let changes = reports.iter().filter_map(|report| {
+            let suspect = self.suspect(report.request);
+            if report.apply(&mut suspect.history, now_us as i64) {
                 suspect.rounds_left = GOSSIP_ROUNDS;
             }
-            self.report_change(news.request)
+            self.report_change(report.request)
         });
         changes.collect()
     }
@@ -256,12 +255,12 @@
     }
 
     /// Returns true if the quarantine of a request prevents this node from sending it now.
-    fn is_blocked(&self, suspect: &Suspect, turn: &TrialTurn, now_us: i64) -> bool {
+    fn is_blocked(&self, suspect: &Suspect, trial_position: &TrialPosition, now_us: i64) -> bool {
         if !self.is_quarantined(&suspect.history) {
             return false;
         }
         let since_hold_us = now_us - held_until_us(&self.options, &suspect.history);
-        since_hold_us < 0 || now_us < suspect.next_trial_at_us || !may_try(turn, since_hold_us)
+        since_hold_us < 0 || now_us < suspect.next_trial_at_us || !may_try(trial_position, since_hold_us)
     }
 
     /// Returns true if the evidence suffices for a quarantine.
@@ -336,7 +335,7 @@
 }
 
 /// Returns true if a node may try a request `since_hold_us` microseconds after its hold time.
-fn may_try(turn: &TrialTurn, since_hold_us: i64) -> bool {
+fn may_try(trial_position: &TrialPosition, since_hold_us: i64) -> bool {
     let doublings = since_hold_us as f64 / TRIAL_DOUBLING_US as f64;
-    turn.position < doublings.exp2() / turn.nodes.max(1) as f64
+    trial_position.position < doublings.exp2() / trial_position.nodes.max(1) as f64
 }
--- a/crates/pointvane-dispatch/src/quarantine/news_budget.rs
+++ b/crates/pointvane-dispatch/src/quarantine/broadcast_budget.rs
@@ -11,11 +11,11 @@
 
 /// Token bucket for the bytes that a node may send in broadcasts.
 #[derive(Clone, Debug)]
-pub struct NewsBudget {
+pub struct BroadcastBudget {
     bytes: TokenBucket,
 }
 
-impl NewsBudget {
+impl BroadcastBudget {
     /// Creates a full budget. `now_us` is in microseconds of the monotonic clock.
     pub fn new(now_us: u64) -> Self {
         Self { bytes: TokenBucket::full(BROADCAST_BYTES_PER_S, BROADCAST_BURST_BYTES, now_us) }
--- a/crates/pointvane-dispatch/src/quarantine/news.rs
+++ b/crates/pointvane-dispatch/src/quarantine/messages.rs
@@ -9,23 +9,23 @@
 };
 
 /// Maximum number of requests in one datagram. Each takes up to 8 crashes of at most 32 bytes plus 30 bytes.
-/// Tests: `tests/quarantine_news.rs`.
-pub const NEWS_MAX: usize = 4;
+/// Tests: `tests/quarantine_messages.rs`.
+pub const SUSPECTS_PER_DATAGRAM_MAX: usize = 4;
 
 /// A quarantine datagram between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineMessage {
     /// The sender's evidence about some requests.
-    News(Vec<SuspectNews>),
+    Reports(Vec<SuspectReport>),
     /// Asks the receiver for its evidence, because the sender has just started or was paused.
     Pull,
     /// Marks the end of the answer to a pull.
-    Pulled,
+    PullComplete,
 }
 
 /// A node's evidence about one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectNews {
+pub struct SuspectReport {
     pub(super) request: RequestFingerprint,
     crashes: Vec<CrashReport>,
     succeeded_ago_ms: Option<u32>,
@@ -39,7 +39,7 @@
     ended_ago_ms: u32,
 }
 
-impl SuspectNews {
+impl SuspectReport {
     pub(super) fn new(request: RequestFingerprint, history: &CrashHistory, now_us: i64) -> Self {
         let crashes = history.crashes().iter().map(|crash| CrashReport {
             id: crash.id,
--- a/crates/pointvane-dispatch/src/quota.rs
+++ b/crates/pointvane-dispatch/src/quota.rs
@@ -24,7 +24,7 @@
 mod peers;
 mod usage;
 
-pub use messages::{ACCOUNTS_MAX, AccountShare, AccountUsage, QuotaMessage, ToldUse};
+pub use messages::{ACCOUNTS_PER_DATAGRAM_MAX, AccountShare, AccountUsage, FleetUsage, QuotaMessage};
 
 use {
     coordinator::Coordinator,
@@ -36,7 +36,7 @@
 
 /// Connectivity of the fleet as this node sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FleetContact {
+pub struct FleetView {
     /// Whether messages of other nodes arrive; also true if the fleet has no other nodes.
     pub connected: bool,
     /// Number of nodes in the fleet, including this one. `None` while other nodes are configured and no
@@ -64,7 +64,7 @@
     window_us: u64,
     started_us: u64,
     accounts: HashMap<Name, LocalAccount>,
-    has_unknown: bool,
+    has_unreported_account: bool,
     coordinator: Coordinator,
 }
 
@@ -75,7 +75,7 @@
             window_us,
             started_us: now_us,
             accounts: HashMap::new(),
-            has_unknown: false,
+            has_unreported_account: false,
             coordinator: Coordinator::new(window_us, now_us),
         }
     }
@@ -85,7 +85,7 @@
         &mut self,
         account: &Name,
         quota: Quota,
-        contact: FleetContact,
+        fleet_view: FleetView,
         now_us: u64,
         draw: f32,
     ) -> QuotaDecision {
@@ -94,11 +94,11 @@
             Some(local) => local,
             None => self.accounts.entry(account.clone()).or_insert_with(|| LocalAccount::new(window_us)),
         };
-        self.has_unknown |= local.was_never_reported();
+        self.has_unreported_account |= local.was_never_reported();
         let uptime_us = now_us.saturating_sub(self.started_us);
         local.admit(&AdmissionInputs {
             quota: quota.requests_in_window(window_us),
-            contact,
+            fleet_view,
             uptime_us,
             now_us,
             draw,
@@ -106,7 +106,7 @@
     }
 
     /// Refunds a request that was admitted at `admitted_at_us` but not sent.
-    pub fn give_back(&mut self, account: &Name, admitted_at_us: u64) {
+    pub fn refund(&mut self, account: &Name, admitted_at_us: u64) {
         if let Some(local) = self.accounts.get_mut(account) {
             local.refund(admitted_at_us);
         }
@@ -114,8 +114,8 @@
 
     /// Whether an account has requests but no report to its current coordinators yet: a report is due at
     /// once.
-    pub fn has_unknown(&self) -> bool {
-        self.has_unknown
+    pub fn has_unreported_account(&self) -> bool {
+        self.has_unreported_account
     }
 
     /// Accounts with requests within the window.
@@ -125,7 +125,7 @@
 
     /// Makes a report of an account due at once. Called when its coordinators change, since new ones have no
     /// reports.
-    pub fn report_again(&mut self, account: &Name) {
+    pub fn force_report(&mut self, account: &Name) {
         if let Some(local) = self.accounts.get_mut(account) {
             local.force_report();
         }
@@ -138,7 +138,7 @@
 
     /// Returns the usage reports that are due and marks them as sent.
     pub fn take_reports(&mut self, now_us: u64) -> Vec<AccountUsage> {
-        self.has_unknown = false;
+        self.has_unreported_account = false;
         self.accounts.retain(|_, local| !local.is_idle(now_us));
         let due = self.accounts.iter_mut().filter(|(_, local)| local.is_report_due(now_us));
         due.map(|(account, local)| local.take_report(account, now_us)).collect()
@@ -168,11 +168,11 @@
         reporter: (SocketAddr, u64),
         usage: &AccountUsage,
         quota: Quota,
-        contact: FleetContact,
+        fleet_view: FleetView,
         now_us: u64,
     ) -> Option<AccountShare> {
         self.coordinator.receive(reporter, usage, quota, now_us);
-        self.coordinator.share(&usage.account, contact.reachable_share, now_us)
+        self.coordinator.share(&usage.account, fleet_view.reachable_share, now_us)
     }
 
     /// Accounts that this node coordinates and whose other coordinator has not been looked up.
@@ -186,23 +186,23 @@
     }
 
     /// Marks the other coordinators of all accounts for a new lookup, after a change of membership.
-    pub fn forget_peers(&mut self) {
-        self.coordinator.forget_peers();
+    pub fn reset_peers(&mut self) {
+        self.coordinator.reset_peers();
     }
 
     /// Records that a message arrived from a node. Returns false if that node is not one of the other
     /// coordinators.
-    pub fn heard(&mut self, from: SocketAddr, now_us: u64) -> bool {
+    pub fn record_message(&mut self, from: SocketAddr, now_us: u64) -> bool {
         self.coordinator.record_message(from, now_us)
     }
 
     /// Returns the other coordinators that a heartbeat is due to, and marks these heartbeats as sent.
-    pub fn take_heartbeats(&mut self, now_us: u64) -> Vec<SocketAddr> {
+    pub fn take_due_heartbeats(&mut self, now_us: u64) -> Vec<SocketAddr> {
         self.coordinator.take_due_heartbeats(now_us)
     }
 
     /// Returns the shares that this node, as a coordinator, has to broadcast now, and marks them as sent.
-    pub fn take_broadcast(&mut self, contact: FleetContact, now_us: u64) -> Vec<AccountShare> {
-        self.coordinator.take_broadcast(contact.reachable_share, now_us)
+    pub fn take_broadcast(&mut self, fleet_view: FleetView, now_us: u64) -> Vec<AccountShare> {
+        self.coordinator.take_broadcast(fleet_view.reachable_share, now_us)
     }
 }
--- a/crates/pointvane-dispatch/src/quota/allowance.rs
+++ b/crates/pointvane-dispatch/src/quota/allowance.rs
@@ -3,7 +3,7 @@
 //! Every node gets an equal part. Fractions of a request are rounded at random, once per window, so that the
 //! nodes together admit the sum of their parts on average.
 
-use {super::FleetContact, pointvane_core::US_PER_MS};
+use {super::FleetView, pointvane_core::US_PER_MS};
 
 /// Time after its start during which a node that has received no message of another node admits nothing, in
 /// microseconds: the other nodes may have used up the quota.
@@ -13,8 +13,8 @@
 
 /// Returns a node's part of a quota; `quota` and the part are in requests per window. `uptime_us` is the time
 /// since the node started.
-pub fn equal_part(quota: f64, contact: FleetContact, uptime_us: u64) -> f64 {
-    match contact.nodes {
+pub fn equal_part(quota: f64, fleet_view: FleetView, uptime_us: u64) -> f64 {
+    match fleet_view.nodes {
         Some(nodes) => quota / nodes.max(1) as f64,
         None if uptime_us < DISCOVERY_TIMEOUT_US => 0.0,
         None => PART_IF_FLEET_UNKNOWN,
--- a/crates/pointvane-dispatch/src/quota/coordinator.rs
+++ b/crates/pointvane-dispatch/src/quota/coordinator.rs
@@ -17,7 +17,7 @@
 
 use {
     super::{
-        messages::{AccountShare, AccountUsage, FIFTHS, PER_MILLE, ToldUse},
+        messages::{AccountShare, AccountUsage, FIFTHS, FleetUsage, PER_MILLE},
         peers::CoordinatorPeers,
     },
     pointvane_core::{Name, PER_1000_S, Quota, US_PER_MS},
@@ -191,7 +191,7 @@
     }
 
     /// Marks the other coordinators of all accounts for a new lookup.
-    pub fn forget_peers(&mut self) {
+    pub fn reset_peers(&mut self) {
         self.accounts.values_mut().for_each(|state| state.peer = PeerCoordinator::Unknown);
     }
 
@@ -220,9 +220,9 @@
         let empty = || CoordinatedAccount::new(quota, now_us);
         let state = self.accounts.entry(usage.account.clone()).or_insert_with(empty);
         state.quota = quota;
-        let AccountUsage { admitted, offered_per_1000_s, told, .. } = *usage;
-        if let Some(told) = told {
-            state.receive_fleet_usage(&told, self.window_us, now_us);
+        let AccountUsage { admitted, offered_per_1000_s, fleet_usage, .. } = *usage;
+        if let Some(fleet_usage) = fleet_usage {
+            state.receive_fleet_usage(&fleet_usage, self.window_us, now_us);
         }
         let usage = NodeUsage { admitted, offered_per_1000_s, at_us: now_us };
         state.usage_by_reporter.insert(reporter, usage);
@@ -286,8 +286,8 @@
 
     /// Stores the fleet-wide usage that a node received from a coordinator, if that was before the first
     /// report here. Later values add nothing, since they may come from this coordinator.
-    fn receive_fleet_usage(&mut self, fleet_usage: &ToldUse, window_us: u64, now_us: u64) {
-        let at_us = now_us.saturating_sub(u64::from(fleet_usage.ago_ms) * US_PER_MS);
+    fn receive_fleet_usage(&mut self, fleet_usage: &FleetUsage, window_us: u64, now_us: u64) {
+        let at_us = now_us.saturating_sub(u64::from(fleet_usage.age_ms) * US_PER_MS);
         let used_share = f64::from(fleet_usage.used_per_mille) / f64::from(PER_MILLE);
         let received = UsageEstimate { used_share, at_us };
         let remaining_share = |estimate: &UsageEstimate| estimate.remaining_share(window_us, now_us);
--- a/crates/pointvane-dispatch/src/quota/local.rs
+++ b/crates/pointvane-dispatch/src/quota/local.rs
@@ -3,9 +3,9 @@
 
 use {
     super::{
-        FleetContact, QuotaDecision,
+        FleetView, QuotaDecision,
         allowance::{Allowance, equal_part},
-        messages::{AccountShare, AccountUsage, PER_MILLE, ToldUse},
+        messages::{AccountShare, AccountUsage, FleetUsage, PER_MILLE},
         usage::Usage,
     },
     pointvane_core::{Name, US_PER_MS},
@@ -77,7 +77,7 @@
     /// Quota of the account, in requests per window.
     pub quota: f64,
     /// Connectivity of the fleet as the node sees it.
-    pub contact: FleetContact,
+    pub fleet_view: FleetView,
     /// Time since the node started, in microseconds.
     pub uptime_us: u64,
     pub now_us: u64,
@@ -112,10 +112,10 @@
     }
 
     /// Returns the recorded fleet-wide usage with its age.
-    fn fleet_usage(&self, now_us: u64) -> Option<ToldUse> {
+    fn fleet_usage(&self, now_us: u64) -> Option<FleetUsage> {
         self.fleet_usage.map(|(used_per_mille, at_us)| {
-            let ago_ms = now_us.saturating_sub(at_us) / US_PER_MS;
-            ToldUse { used_per_mille, ago_ms: u32::try_from(ago_ms).unwrap_or(u32::MAX) }
+            let age_ms = now_us.saturating_sub(at_us) / US_PER_MS;
+            FleetUsage { used_per_mille, age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX) }
         })
     }
 
@@ -127,11 +127,11 @@
 
     /// Decides whether a request is admitted, and counts it.
     pub fn admit(&mut self, inputs: &AdmissionInputs) -> QuotaDecision {
-        let AdmissionInputs { contact, now_us, draw, .. } = *inputs;
+        let AdmissionInputs { fleet_view, now_us, draw, .. } = *inputs;
         self.usage.record_offered(now_us);
         self.unreported = true;
         let decision = match self.smallest_valid_share(now_us) {
-            _ if !contact.connected || self.are_coordinators_unreachable(now_us) => {
+            _ if !fleet_view.connected || self.are_coordinators_unreachable(now_us) => {
                 self.decide_by_allowance(inputs)
             }
             Some(share) => share.decide(draw),
@@ -145,8 +145,8 @@
 
     /// Decides by this node's equal part of the quota.
     fn decide_by_allowance(&mut self, inputs: &AdmissionInputs) -> QuotaDecision {
-        let AdmissionInputs { quota, contact, uptime_us, now_us, draw } = *inputs;
-        let part = equal_part(quota, contact, uptime_us);
+        let AdmissionInputs { quota, fleet_view, uptime_us, now_us, draw } = *inputs;
+        let part = equal_part(quota, fleet_view, uptime_us);
         let admitted = self.usage.admitted(now_us);
         if self.allowance.covers(part, admitted, self.window_us, now_us, draw) {
             QuotaDecision::Admitted
@@ -210,7 +210,7 @@
             account: account.clone(),
             admitted: self.usage.admitted_by_fifths(now_us),
             offered_per_1000_s: self.usage.offered_per_1000_s(now_us),
-            told: self.fleet_usage(now_us),
+            fleet_usage: self.fleet_usage(now_us),
         }
     }
 
--- a/crates/pointvane-dispatch/src/quota/messages.rs
+++ b/crates/pointvane-dispatch/src/quota/messages.rs
@@ -8,7 +8,7 @@
 };
 
 /// Maximum number of accounts in one datagram. This many fit even if each name has 64 bytes.
-pub const ACCOUNTS_MAX: usize = 16;
+pub const ACCOUNTS_PER_DATAGRAM_MAX: usize = 16;
 
 /// Number of equal parts of the window by which admitted requests are reported.
 pub const FIFTHS: usize = 5;
@@ -23,7 +23,7 @@
     /// Usage report of the sender for some accounts, to one of their coordinators.
     Usage {
         /// Incarnation of the sender's process. Each incarnation counts from zero.
-        life: u64,
+        incarnation: u64,
         /// Usage by account.
         accounts: Vec<AccountUsage>,
     },
@@ -56,16 +56,16 @@
     /// Current rate of requests offered at the node, admitted or not, in requests per 1000 s.
     pub offered_per_1000_s: u32,
     /// Fleet-wide usage that a coordinator last sent to the node.
-    pub told: Option<ToldUse>,
+    pub fleet_usage: Option<FleetUsage>,
 }
 
 /// Fleet-wide usage of an account, passed on by a node to a coordinator that may not know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldUse {
+pub struct FleetUsage {
     /// Used part of the quota, in thousandths.
     pub used_per_mille: u16,
     /// Age of this value, in milliseconds.
-    pub ago_ms: u32,
+    pub age_ms: u32,
 }
 
 /// Share of an account's requests that each node may admit.
--- a/crates/pointvane-dispatch/src/ranking.rs
+++ b/crates/pointvane-dispatch/src/ranking.rs
@@ -22,7 +22,7 @@
 
 /// Criteria by which candidates for a request are selected.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'t> {
+pub struct CandidateCriteria<'t> {
     /// Upstreams that the request was sent to before.
     pub tried: &'t [UpstreamKey],
     /// Size of the request's body in bytes, as far as it is known.
@@ -37,13 +37,18 @@
 
 impl Pool {
     /// Upstreams of a service that may get the request, the best first.
-    pub fn candidates(&mut self, service: &Name, criteria: &Wanted<'_>, now_us: u64) -> Vec<UpstreamKey> {
+    pub fn candidates(
+        &mut self,
+        service: &Name,
+        criteria: &CandidateCriteria<'_>,
+        now_us: u64,
+    ) -> Vec<UpstreamKey> {
         let Some(upstreams) = self.by_service.get(service) else {
             return Vec::new();
         };
         // A separate generator, since the eligibility checks borrow the pool.
         let mut rng = SmallRng::from_rng(&mut self.rng);
-        let suitable = |key: UpstreamKey| self.suits(key, criteria, now_us);
+        let suitable = |key: UpstreamKey| self.meets_criteria(key, criteria, now_us);
         let usable = |key: UpstreamKey| suitable(key) && self.is_usable(key, now_us);
         let eligible = |key: UpstreamKey| suitable(key) && self.eligibility(key, now_us).is_ok();
         let mut keys = upstreams.subset(eligible, &mut rng);
@@ -61,7 +66,12 @@
     }
 
     /// Whether an upstream suits this request, apart from its eligibility.
-    pub(crate) fn suits(&self, key: UpstreamKey, criteria: &Wanted<'_>, now_us: u64) -> bool {
+    pub(crate) fn meets_criteria(
+        &self,
+        key: UpstreamKey,
+        criteria: &CandidateCriteria<'_>,
+        now_us: u64,
+    ) -> bool {
         let is_reserved = |state: &UpstreamState| state.limit().is_reserved(criteria.priority, now_us);
         // Few upstreams advertise limits; the others need no look-up.
         let is_limit_reserved =
@@ -91,7 +101,7 @@
     }
 
     /// Whether an upstream has capacity for another request sent now; false once it has been removed.
-    pub fn has_room(&mut self, key: UpstreamKey, now_us: u64) -> bool {
+    pub fn has_capacity(&mut self, key: UpstreamKey, now_us: u64) -> bool {
         let Some(state) = self.upstreams.get(&key) else {
             return false;
         };
@@ -100,7 +110,7 @@
     }
 
     /// Learned latency factor of a service's upstreams with all slots in use, relative to empty ones.
-    pub fn full_factor(&self, service: &Name) -> f32 {
+    pub fn full_slowdown(&self, service: &Name) -> f32 {
         self.services.get(service).map_or(1.0, |service| service.curve.factor(1.0))
     }
 
--- a/crates/pointvane-dispatch/src/replica/fan_out.rs
+++ b/crates/pointvane-dispatch/src/replica/fan_out.rs
@@ -17,12 +17,12 @@
 /// Largest number of other nodes to which the origin sends directly, without forwarders.
 ///
 /// Forwarding in fleets of every size gave worse dispatch results than sending directly in small ones.
-pub const DIRECT_MAX: usize = 150;
+pub const DIRECT_SEND_MAX: usize = 150;
 
-/// The fan-out in a fleet with the given number of other nodes; [`DIRECT_MAX`] stands for sending to all of
+/// The fan-out in a fleet with the given number of other nodes; [`DIRECT_SEND_MAX`] stands for sending to all of
 /// them directly.
 pub fn fan_out(others: usize) -> usize {
-    if others <= DIRECT_MAX { DIRECT_MAX } else { FAN_OUT }
+    if others <= DIRECT_SEND_MAX { DIRECT_SEND_MAX } else { FAN_OUT }
 }
 
 /// The position of a node in the broadcast order, from the hashes of its data centre and its name.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderedNode<T> {
     /// The position, see [`broadcast_position`].
-    pub hash: u64,
+    pub position: u64,
     /// The node.
     pub node: T,
 }
@@ -94,15 +94,15 @@
     fan_out: usize,
     rng: &mut SmallRng,
 ) -> Vec<Forwarder<T>> {
-    nodes.sort_unstable_by_key(|node| node.hash);
+    nodes.sort_unstable_by_key(|node| node.position);
     let nodes_in = |subrange: &Segment| {
-        let first = nodes.partition_point(|node| node.hash < subrange.first);
-        let last = nodes.partition_point(|node| node.hash <= subrange.last);
+        let first = nodes.partition_point(|node| node.position < subrange.first);
+        let last = nodes.partition_point(|node| node.position <= subrange.last);
         &nodes[first..last.max(first)]
     };
     let subranges = segment.excluding(own);
     let total: usize = subranges.iter().map(|subrange| nodes_in(subrange).len()).sum();
-    if fan_out == DIRECT_MAX {
+    if fan_out == DIRECT_SEND_MAX {
         let direct = subranges.iter().flat_map(nodes_in);
         return direct.map(|other| Forwarder { node: other.node, segment: Segment::NONE }).collect();
     }
@@ -128,8 +128,8 @@
     let part = |index: usize| &nodes[index * nodes.len() / parts..(index + 1) * nodes.len() / parts];
     for index in 0..parts {
         // Ranges are contiguous, so that a node unknown to this sender still falls into one of them.
-        let first = if index == 0 { subrange.first } else { part(index)[0].hash };
-        let last = if index + 1 == parts { subrange.last } else { part(index + 1)[0].hash - 1 };
+        let first = if index == 0 { subrange.first } else { part(index)[0].position };
+        let last = if index + 1 == parts { subrange.last } else { part(index + 1)[0].position - 1 };
         let chosen = part(index).choose(rng).map(|chosen| chosen.node);
         forwarders.extend(chosen.map(|node| Forwarder { node, segment: Segment { first, last } }));
     }
--- a/crates/pointvane-dispatch/src/replica/query_order.rs
+++ b/crates/pointvane-dispatch/src/replica/query_order.rs
@@ -35,7 +35,7 @@
 impl Broadcaster {
     /// Returns `self`, whose relay has just been received, unless the previous broadcaster is recent and has
     /// a higher revision.
-    pub fn or_better(self, previous: Option<Self>) -> Self {
+    pub fn most_advanced(self, previous: Option<Self>) -> Self {
         let is_recent = |previous: &Self| {
             self.received_at_us.saturating_sub(previous.received_at_us) < BROADCASTER_AGE_MAX_US
         };
@@ -53,7 +53,7 @@
     /// Its position in the query order, 0 to 1.
     pub position: f64,
     /// Whether it is in the same data centre.
-    pub near: bool,
+    pub same_data_centre: bool,
 }
 
 /// Selects a random node that queries at least `POSITION_MARGIN` before `position`, preferring the same data
@@ -64,7 +64,7 @@
     rng: &mut SmallRng,
 ) -> Option<T> {
     let earlier = peers.filter(|peer| peer.position + POSITION_MARGIN <= position);
-    let (local, remote): (Vec<_>, Vec<_>) = earlier.partition(|peer| peer.near);
+    let (local, remote): (Vec<_>, Vec<_>) = earlier.partition(|peer| peer.same_data_centre);
     let candidates = if local.is_empty() { remote } else { local };
     candidates.choose(rng).map(|peer| peer.node)
 }
--- a/crates/pointvane-dispatch/src/replica/reader.rs
+++ b/crates/pointvane-dispatch/src/replica/reader.rs
@@ -4,7 +4,7 @@
 //! A few nodes read on behalf of the fleet. Watchers keep a long poll open and relay each response to all
 //! nodes. A relay also renews a lease: while the platform response behind it is younger than `lease_ms`, the
 //! receiver does not read for itself. Without a watcher the standbys read; without these, the followers do,
-//! one after another (`turns.rs`). The first of them to get a response acts as a watcher until it receives
+//! one after another (`poll_schedule.rs`). The first of them to get a response acts as a watcher until it receives
 //! relays from another reader. Nodes fetch what does not fit in a relay, such as a configuration, from each
 //! other in an order that spreads the load (`query_order.rs`), and from the platform if that fails. A node
 //! reads a full snapshot when the platform no longer holds the changes it lacks, or when a response cannot be
@@ -14,19 +14,19 @@
 //! `pointvane-node` carries the calls out. Calls to the platform and queries of peers run concurrently:
 //! [`PlatformReader::next`] and [`PlatformReader::next_query`]. Outdated inputs: a relay older than the lease
 //! is ignored; after a platform outage longer than `outage_ms`, upstreams whose entries may merely have
-//! expired get a grace period. Tests: `tests/reader.rs`, `tests/relays.rs`, `tests/states.rs`,
-//! `tests/lapses.rs`.
+//! expired get a grace period. Tests: `tests/reader.rs`, `tests/relays.rs`, `tests/state_queries.rs`,
+//! `tests/expired_entries.rs`.
 
 mod answers;
 mod call;
 mod freshness;
 mod next_call;
-mod nodes;
 mod options;
+mod poll_schedule;
 mod queries;
+mod relays;
 mod snapshot;
 mod startup;
-mod turns;
 
 pub use {
     call::{CallFailure, CallReason, PeerQuery, QueryTarget, ReaderCall, ReaderQuery, ReaderRole},
@@ -40,10 +40,10 @@
     },
     freshness::Freshness,
     pointvane_core::US_PER_MS,
+    poll_schedule::PollSchedule,
     rand::{SeedableRng, rngs::SmallRng},
     snapshot::SnapshotRead,
     startup::Startup,
-    turns::PollSchedule,
 };
 
 /// The platform is known to hold more than this node: what is missing, and when to fetch it from where.
@@ -190,7 +190,7 @@
     }
 
     /// Whether this node acts as a watcher though its role is another.
-    pub fn stands_in(&self) -> bool {
+    pub fn is_acting_watcher(&self) -> bool {
         self.is_acting_watcher
     }
 
@@ -215,19 +215,19 @@
     }
 
     /// Records the first byte of the platform's response to the call in progress.
-    pub fn answer_began(&mut self, now_us: u64) {
+    pub fn response_started(&mut self, now_us: u64) {
         if self.call == Some(PlatformCall::Waiting) {
             self.call = Some(PlatformCall::Fetching { since_us: now_us });
         }
     }
 
     /// Records the size of a received response; called before the response is processed.
-    pub fn answer_came(&mut self, size_bytes: usize) {
+    pub fn response_received(&mut self, size_bytes: usize) {
         self.answer_bytes = size_bytes;
     }
 
     /// Whether to end the current pause or watch early, because a catch-up is due or the watch hangs.
-    pub fn is_to_be_interrupted(&self) -> bool {
+    pub fn should_interrupt(&self) -> bool {
         self.watch_hung || (self.catch_up.is_some() && self.call.is_none())
     }
 
--- a/crates/pointvane-dispatch/src/replica/reader/answers.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/answers.rs
@@ -5,7 +5,7 @@
         CallFailure, CallReason, PlatformCall, PlatformReader, ReaderOptions, ReaderRole,
         snapshot::{CompletedSnapshot, PageRead, SnapshotRead},
     },
-    crate::replica::relay::ChangesHold,
+    crate::replica::relay::ChangeCoverage,
     pointvane_core::{Change, ChangePage, US_PER_MS},
     rand::Rng,
 };
@@ -15,7 +15,7 @@
 
 impl PlatformReader {
     /// Processes a page of a snapshot; `known` are the entries this node holds. Returns the changes to apply.
-    pub fn page_read(
+    pub fn receive_page(
         &mut self,
         page: ChangePage,
         known: impl Iterator<Item = Change>,
@@ -41,7 +41,7 @@
         if first || state.revision <= self.mark.revision {
             self.reset_to(state.revision);
         } else {
-            self.advance_to(state.revision, &state.changes, ChangesHold::Difference);
+            self.advance_to(state.revision, &state.changes, ChangeCoverage::Difference);
         }
         if first {
             self.pause_after_first_state(now_us);
@@ -63,7 +63,7 @@
     }
 
     /// Processes the response to a watch. Returns the changes to apply.
-    pub fn watch_answered(&mut self, page: ChangePage, now_us: u64) -> Vec<Change> {
+    pub fn receive_watch_response(&mut self, page: ChangePage, now_us: u64) -> Vec<Change> {
         let began_us = self.call.and_then(PlatformCall::fetching_since_us).unwrap_or(now_us);
         self.call_succeeded(now_us);
         if page.revision < self.watch_revision {
@@ -76,7 +76,7 @@
             return Vec::new();
         }
         self.raise_version(&page.changes);
-        self.advance_to(page.revision, &page.changes, ChangesHold::All);
+        self.advance_to(page.revision, &page.changes, ChangeCoverage::All);
         if !page.changes.is_empty() && self.watches() {
             self.pause_between_responses(began_us, now_us);
         }
@@ -102,7 +102,7 @@
     }
 
     /// Moves the state forward to a revision by the given changes.
-    pub(super) fn advance_to(&mut self, revision: u64, changes: &[Change], hold: ChangesHold) {
+    pub(super) fn advance_to(&mut self, revision: u64, changes: &[Change], hold: ChangeCoverage) {
         if revision > self.mark.revision {
             self.relay_log.add(revision, changes, hold);
         }
@@ -129,7 +129,7 @@
         // forever.
         let platform_responded = match failure {
             CallFailure::HistoryGone => true,
-            CallFailure::LongerThanState => self.snapshot.is_none(),
+            CallFailure::ExceedsSnapshotSize => self.snapshot.is_none(),
             _ => false,
         };
         // Also after a truncated response: a snapshot contains each value once, the change history every
@@ -159,7 +159,7 @@
             (_, Some(snapshot)) => Some(snapshot.reason()),
             (CallFailure::Unavailable, None) => None,
             (CallFailure::HistoryGone, None) => Some(CallReason::HistoryGone),
-            (CallFailure::BrokenOff | CallFailure::LongerThanState | CallFailure::Malformed, None) => {
+            (CallFailure::Truncated | CallFailure::ExceedsSnapshotSize | CallFailure::Malformed, None) => {
                 Some(CallReason::BadAnswer)
             }
         }
--- a/crates/pointvane-dispatch/src/replica/reader/call.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/call.rs
@@ -137,9 +137,9 @@
     Unavailable,
     /// The response was truncated or did not arrive completely in time, because it exceeded the capacity of
     /// the link.
-    BrokenOff,
+    Truncated,
     /// The response is longer than a snapshot would be, since it contains several versions of the same items.
-    LongerThanState,
+    ExceedsSnapshotSize,
     /// The platform no longer holds the changes since the requested revision.
     HistoryGone,
     /// The response is malformed.
--- a/crates/pointvane-dispatch/src/replica/reader/queries.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/queries.rs
@@ -3,7 +3,7 @@
 use {
     super::{CallReason, PlatformCall, PlatformReader, snapshot::SnapshotRead},
     crate::replica::{
-        relay::ChangesHold,
+        relay::ChangeCoverage,
         state_query::{ConfigurationUpdate, KnownState, StateReply, StateRequest},
     },
     pointvane_core::{Change, US_PER_MS},
@@ -30,16 +30,16 @@
         let known = request.known;
         let recent_changes =
             if known.revision == 0 { None } else { self.relay_log.changes_since(known.revision) };
-        let whole = recent_changes.is_none();
+        let is_full = recent_changes.is_none();
         let changes = recent_changes.unwrap_or_else(|| local_state.entries());
         let is_outdated = known.version < self.mark.version;
         let configuration = is_outdated.then(|| ConfigurationUpdate::new(known.version, local_state));
-        Some(StateReply::new(self.mark, age_ms, whole, changes, configuration))
+        Some(StateReply::new(self.mark, age_ms, is_full, changes, configuration))
     }
 
     /// Whether the response to a query would contain all entries.
-    pub fn answers_whole(&self, request: &StateRequest) -> bool {
-        request.known.revision == 0 || !self.relay_log.reaches(request.known.revision)
+    pub fn answers_with_full_state(&self, request: &StateRequest) -> bool {
+        request.known.revision == 0 || !self.relay_log.has_changes_since(request.known.revision)
     }
 
     /// Whether this node has no state yet but is reading it from the platform.
@@ -57,21 +57,21 @@
         now_us: u64,
     ) -> Vec<Change> {
         let excluded_by_snapshot = self.snapshot.as_ref().is_some_and(SnapshotRead::excludes_peer_states);
-        let is_usable = reply.age_ms < self.options.lease_ms && reply.leads_from(self.mark);
-        if excluded_by_snapshot || !is_usable || (self.mark.revision == 0 && !reply.whole) {
+        let is_usable = reply.age_ms < self.options.lease_ms && reply.applies_to(self.mark);
+        if excluded_by_snapshot || !is_usable || (self.mark.revision == 0 && !reply.is_full) {
             self.query_failed(now_us);
             return Vec::new();
         }
-        let StateReply { mark, whole, .. } = reply;
+        let StateReply { mark, is_full, .. } = reply;
         self.freshness.confirm(now_us.saturating_sub(reply.age_ms * US_PER_MS), &self.options);
         let changes = reply.into_changes(known);
         self.mark.version = self.mark.version.max(mark.version);
         if self.snapshot.take().is_some() {
             self.pause_after_first_state(now_us);
         }
-        match whole {
+        match is_full {
             true => self.reset_to(mark.revision),
-            false => self.advance_to(mark.revision, &changes, ChangesHold::Difference),
+            false => self.advance_to(mark.revision, &changes, ChangeCoverage::Difference),
         }
         self.begin_query_round(now_us);
         changes
@@ -99,7 +99,7 @@
     }
 
     /// Records that a peer responded that it is reading the platform; this node waits for its state.
-    pub fn query_found_reader(&mut self, now_us: u64) {
+    pub fn query_found_reading_peer(&mut self, now_us: u64) {
         self.startup.record_peer_reading(now_us);
         self.query_declined(now_us);
     }
--- a/crates/pointvane-dispatch/src/replica/reader/nodes.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/relays.rs
@@ -4,7 +4,7 @@
     super::{CatchUp, PlatformCall, PlatformReader, ReaderRole},
     crate::replica::{
         read_mark::ReadMark,
-        relay::{ChangesHold, Relay},
+        relay::{ChangeCoverage, Relay},
     },
     pointvane_core::{Change, US_PER_MS},
 };
@@ -46,7 +46,7 @@
         self.snapshot = None;
         self.lease_expired = false;
         self.freshness.confirm(answered_at_us, &self.options);
-        self.advance_to(relay.mark.revision, &relay.changes, ChangesHold::All);
+        self.advance_to(relay.mark.revision, &relay.changes, ChangeCoverage::All);
         relay.changes
     }
 
@@ -69,12 +69,12 @@
 
     /// Records a relay from another reader; `age_ms` is the age of the platform response behind it, in
     /// milliseconds. If that reader precedes this node, this one stops acting as a watcher.
-    pub fn hear_reader(&mut self, age_ms: u64, precedes: bool) {
+    pub fn observe_reader(&mut self, age_ms: u64, precedes: bool) {
         self.is_acting_watcher &= !precedes || age_ms >= self.options.lease_ms;
     }
 
     /// Sets the number of reachable nodes, including this one.
-    pub fn set_reached_nodes(&mut self, nodes: usize) {
+    pub fn set_reachable_nodes(&mut self, nodes: usize) {
         self.poll_schedule.set_reachable_nodes(nodes);
     }
 
--- a/crates/pointvane-dispatch/src/replica/relay.rs
+++ b/crates/pointvane-dispatch/src/replica/relay.rs
@@ -16,7 +16,7 @@
 /// is sent without changes.
 const RELAY_CHANGES_MAX: usize = 20;
 /// Maximum number of changes, and of batches, in a log; limits its memory to about 200 KB. A node that lacks
-/// more than these queries for the whole state.
+/// more than these queries for the full state.
 const LOGGED_CHANGES_MAX: usize = 1_024;
 
 /// A watcher's broadcast: up to where it has read the platform, how long ago the platform answered, and the
@@ -118,7 +118,7 @@
 
 /// Which revisions a batch of changes can be applied to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChangesHold {
+pub enum ChangeCoverage {
     /// All changes since the batch's first revision: it applies to that revision and to later ones.
     All,
     /// The difference between two states: it applies to the first state's revision alone. An entry that was
@@ -131,7 +131,7 @@
 #[derive(Clone, Debug)]
 struct Batch {
     since: u64,
-    coverage: ChangesHold,
+    coverage: ChangeCoverage,
     changes: Vec<Change>,
 }
 
@@ -139,8 +139,8 @@
     /// Whether a node at a revision can apply the batch.
     fn applies_to(&self, revision: u64) -> bool {
         match self.coverage {
-            ChangesHold::All => self.since <= revision,
-            ChangesHold::Difference => self.since == revision,
+            ChangeCoverage::All => self.since <= revision,
+            ChangeCoverage::Difference => self.since == revision,
         }
     }
 }
@@ -165,7 +165,7 @@
     }
 
     /// Appends the changes from the last logged revision to `revision`.
-    pub fn add(&mut self, revision: u64, changes: &[Change], coverage: ChangesHold) {
+    pub fn add(&mut self, revision: u64, changes: &[Change], coverage: ChangeCoverage) {
         let since = mem::replace(&mut self.revision, revision);
         let entries = changes.iter().filter(|change| change.entry().is_some());
         self.batches.push_back(Batch { since, coverage, changes: entries.cloned().collect() });
@@ -189,7 +189,7 @@
     }
 
     /// Whether the log contains all changes after a revision.
-    pub fn reaches(&self, revision: u64) -> bool {
+    pub fn has_changes_since(&self, revision: u64) -> bool {
         revision == self.revision || self.first_batch_after(revision).is_some()
     }
 
@@ -215,7 +215,7 @@
     pub fn relay(&self, mark: ReadMark, age_ms: u64) -> Relay {
         let mut remaining = RELAY_CHANGES_MAX;
         let fits = |batch: &&Batch| {
-            let fits = batch.coverage == ChangesHold::All && batch.changes.len() <= remaining;
+            let fits = batch.coverage == ChangeCoverage::All && batch.changes.len() <= remaining;
             remaining = remaining.saturating_sub(batch.changes.len());
             fits
         };
--- a/crates/pointvane-dispatch/src/replica/routing_log.rs
+++ b/crates/pointvane-dispatch/src/replica/routing_log.rs
@@ -22,7 +22,7 @@
 
 impl RoutingLog {
     /// Appends the delta between a configuration and the one that replaced it.
-    pub fn replaced(&mut self, from: &RoutingConfiguration, to: &RoutingConfiguration) {
+    pub fn add_replacement(&mut self, from: &RoutingConfiguration, to: &RoutingConfiguration) {
         // The delta from an empty configuration (version 0) would be as large as the configuration itself.
         let delta = if from.version == 0 { None } else { RoutingDelta::between(from, to) };
         match delta {
--- a/crates/pointvane-dispatch/src/replica/state_query.rs
+++ b/crates/pointvane-dispatch/src/replica/state_query.rs
@@ -29,10 +29,10 @@
 impl ConfigurationUpdate {
     /// The update for a node that has version `known`: deltas, unless they are larger than the whole
     /// configuration.
-    pub fn new(known: u64, known_here: &impl KnownState) -> Self {
-        let whole = known_here.configuration();
+    pub fn new(known: u64, local_state: &impl KnownState) -> Self {
+        let whole = local_state.configuration();
         let smaller = |deltas: &Vec<RoutingDelta>| size_in_routes(deltas) <= whole.routes.len();
-        match known_here.configuration_since(known).filter(smaller) {
+        match local_state.configuration_since(known).filter(smaller) {
             Some(deltas) => Self::Deltas(deltas),
             None => Self::Whole(Box::new(whole)),
         }
@@ -78,23 +78,23 @@
 const ANSWER_BYTES_MAX: usize = 1_500_000;
 
 /// Whether an encoded reply of `bytes` bytes is small enough to be sent.
-pub fn is_answer_sent(bytes: usize) -> bool {
+pub fn fits_reply_limit(bytes: usize) -> bool {
     bytes <= ANSWER_BYTES_MAX
 }
 
-/// Maximum number of whole states that a node sends concurrently: with 6,000 upstreams these occupy a 20
+/// Maximum number of full states that a node sends concurrently: with 6,000 upstreams these occupy a 20
 /// Mbit/s link for half a second. A node that is refused queries another one, which may have the state by
 /// then.
 const CONCURRENT_WHOLE_STATES_MAX: usize = 8;
 
-/// Limits the whole states that a node sends concurrently, so that starting nodes do not saturate one node's
+/// Limits the full states that a node sends concurrently, so that starting nodes do not saturate one node's
 /// link.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WholeStateLimit {
+pub struct FullStateLimit {
     in_progress: usize,
 }
 
-impl WholeStateLimit {
+impl FullStateLimit {
     /// Reserves a slot for one transfer; false if all slots are in use.
     pub fn begin(&mut self) -> bool {
         let allowed = self.in_progress < CONCURRENT_WHOLE_STATES_MAX;
@@ -137,7 +137,7 @@
     /// Age of the platform's answer that the reply is based on, in milliseconds.
     pub age_ms: u64,
     /// Whether the changes list all entries rather than only those that changed.
-    pub whole: bool,
+    pub is_full: bool,
     changes: Vec<WireChange>,
     /// The configuration, if the querying node has an older one.
     pub configuration: Option<ConfigurationUpdate>,
@@ -148,14 +148,14 @@
     pub fn new(
         mark: ReadMark,
         age_ms: u64,
-        whole: bool,
+        is_full: bool,
         changes: Vec<Change>,
         configuration: Option<ConfigurationUpdate>,
     ) -> Self {
         Self {
             mark,
             age_ms,
-            whole,
+            is_full,
             changes: changes.into_iter().filter_map(WireChange::new).collect(),
             configuration,
         }
@@ -167,7 +167,7 @@
     }
 
     /// Whether applying the reply brings a node at mark `known` to the reply's mark.
-    pub fn leads_from(&self, known: ReadMark) -> bool {
+    pub fn applies_to(&self, known: ReadMark) -> bool {
         let updated_version =
             self.configuration.as_ref().and_then(|update| update.resulting_version(known.version));
         let configuration_complete =
@@ -175,12 +175,12 @@
         configuration_complete && self.mark.revision >= known.revision
     }
 
-    /// The changes to apply, including removals if the reply is whole; `known` are the entries that the
+    /// The changes to apply, including removals if the reply is full; `known` are the entries that the
     /// querying node holds.
     pub fn into_changes(self, known: impl Iterator<Item = Change>) -> Vec<Change> {
         let entries: Vec<Change> = self.changes.into_iter().map(Change::from).collect();
         let removals =
-            if self.whole { removals_of_unlisted(known, &entries, self.mark.revision) } else { Vec::new() };
+            if self.is_full { removals_of_unlisted(known, &entries, self.mark.revision) } else { Vec::new() };
         let configuration = self.configuration.map(ConfigurationUpdate::into_change);
         configuration.into_iter().chain(entries).chain(removals).collect()
     }
--- a/crates/pointvane-dispatch/src/retry.rs
+++ b/crates/pointvane-dispatch/src/retry.rs
@@ -13,7 +13,7 @@
 
 /// What follows from the outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// Deliver the upstream's answer to the caller.
     Deliver,
     /// Make another attempt.
@@ -28,32 +28,32 @@
 
 /// Decides what follows from the outcome of an attempt. `may_have_run` covers all attempts of the request,
 /// this one included; `has_attempts_left` says whether the route allows another.
-pub fn judge(
+pub fn decide_retry(
     kind: RouteKind,
     outcome: AttemptOutcome,
     may_have_run: bool,
     has_attempts_left: bool,
-) -> Verdict {
+) -> RetryDecision {
     let may_retry = has_attempts_left && (kind.is_repeatable() || !may_have_run);
     match outcome {
         AttemptOutcome::Answered { failed: true } if may_retry && kind.is_repeatable() => {
-            Verdict::Retry { takes_token: true }
+            RetryDecision::Retry { takes_token: true }
         }
-        AttemptOutcome::Answered { .. } => Verdict::Deliver,
-        AttemptOutcome::Quarantined => Verdict::GiveUp(ErrorKind::RequestQuarantined),
-        AttemptOutcome::Unauthorized => Verdict::GiveUp(ErrorKind::Unauthorized),
-        _ if outcome.is_unsent() && may_retry => Verdict::Retry { takes_token: false },
+        AttemptOutcome::Answered { .. } => RetryDecision::Deliver,
+        AttemptOutcome::Quarantined => RetryDecision::GiveUp(ErrorKind::RequestQuarantined),
+        AttemptOutcome::Unauthorized => RetryDecision::GiveUp(ErrorKind::Unauthorized),
+        _ if outcome.is_unsent() && may_retry => RetryDecision::Retry { takes_token: false },
         AttemptOutcome::NotRun(_) | AttemptOutcome::Broken | AttemptOutcome::Crashed if may_retry => {
-            Verdict::Retry { takes_token: true }
+            RetryDecision::Retry { takes_token: true }
         }
-        AttemptOutcome::TimedOut => Verdict::GiveUp(ErrorKind::UpstreamTimeout),
-        _ if may_have_run => Verdict::GiveUp(ErrorKind::UpstreamBroken),
+        AttemptOutcome::TimedOut => RetryDecision::GiveUp(ErrorKind::UpstreamTimeout),
+        _ if may_have_run => RetryDecision::GiveUp(ErrorKind::UpstreamBroken),
         AttemptOutcome::Unsent | AttemptOutcome::Unreachable => {
-            Verdict::GiveUp(ErrorKind::UpstreamUnreachable)
+            RetryDecision::GiveUp(ErrorKind::UpstreamUnreachable)
         }
-        AttemptOutcome::Withheld(reason) => Verdict::GiveUp(reason.error()),
+        AttemptOutcome::Withheld(reason) => RetryDecision::GiveUp(reason.error()),
         AttemptOutcome::NotRun(_) | AttemptOutcome::Broken | AttemptOutcome::Crashed => {
-            Verdict::GiveUp(ErrorKind::Overloaded)
+            RetryDecision::GiveUp(ErrorKind::Overloaded)
         }
     }
 }
@@ -66,6 +66,6 @@
 ///
 /// An upstream that did not run a request says so in a separate header. Without that header, a status that
 /// implies "not run" must not reach the caller of a request that may not be repeated.
-pub fn may_pass_on(kind: RouteKind, status: u16) -> bool {
+pub fn may_relay(kind: RouteKind, status: u16) -> bool {
     kind.is_repeatable() || !NOT_RUN_STATUSES.contains(&status)
 }
--- a/crates/pointvane-dispatch/src/route_times.rs
+++ b/crates/pointvane-dispatch/src/route_latencies.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         hedge::{HEDGE_QUANTILE, hedge_after_ms},
-        latency::{LatencyQuantile, LeastLatency},
+        latency::{LatencyQuantile, MinimumLatency},
     },
     pointvane_core::RouteRule,
 };
@@ -22,20 +22,20 @@
 
 /// Latency estimates of one route.
 #[derive(Clone, Copy, Debug)]
-pub struct RouteTimes {
+pub struct RouteLatencies {
     answer_quantile: LatencyQuantile,
     baseline: LatencyQuantile,
-    minimum: LeastLatency,
+    minimum: MinimumLatency,
 }
 
-impl RouteTimes {
+impl RouteLatencies {
     /// Creates the initial estimates from the target latency of the route.
     pub fn new(route: &RouteRule) -> Self {
         let target_ms = route.target_latency_ms as f64;
         Self {
             answer_quantile: LatencyQuantile::new(HEDGE_QUANTILE, target_ms * INITIAL_ANSWER_SHARE),
             baseline: LatencyQuantile::new(BASELINE_QUANTILE, target_ms * INITIAL_BASELINE_SHARE),
-            minimum: LeastLatency::default(),
+            minimum: MinimumLatency::default(),
         }
     }
 
@@ -46,7 +46,7 @@
 
     /// Whether, by the latencies recorded so far, no upstream can finish a request with `remaining_ms`
     /// milliseconds left; false before the first.
-    pub fn cannot_finish(&self, remaining_ms: f64) -> bool {
+    pub fn cannot_finish_within(&self, remaining_ms: f64) -> bool {
         self.minimum.get_ms().is_some_and(|minimum_ms| remaining_ms < minimum_ms * FINISH_MINIMUM_SHARE)
     }
 
--- a/crates/pointvane-dispatch/src/routes.rs
+++ b/crates/pointvane-dispatch/src/routes.rs
@@ -45,7 +45,7 @@
 
 impl RoutedRequest {
     /// Sets the client account, whose priority, if it has one, overrides the route's.
-    pub fn of_account(self, account: Option<Arc<AccountRule>>) -> Self {
+    pub fn with_account(self, account: Option<Arc<AccountRule>>) -> Self {
         let priority = account.as_ref().and_then(|account| account.priority);
         let route = match priority.filter(|priority| *priority != self.route.priority) {
             Some(priority) => Arc::new(RouteRule { priority, ..RouteRule::clone(&self.route) }),
--- a/crates/pointvane-dispatch/src/search.rs
+++ b/crates/pointvane-dispatch/src/search.rs
@@ -12,7 +12,7 @@
 
 use {
     crate::{
-        allowed_regions::AllowedRegions, ineligible::Ineligible, pool::Pool, ranking::Wanted,
+        allowed_regions::AllowedRegions, ineligible::Ineligible, pool::Pool, ranking::CandidateCriteria,
         upstream_key::UpstreamKey,
     },
     pointvane_core::{Name, RouteRule},
@@ -75,7 +75,7 @@
     /// The best upstream, if no uncontended one was found.
     Contended(UpstreamKey),
     /// No upstream of the service may get the request, for this reason.
-    Nothing(Ineligible),
+    NoUpstream(Ineligible),
 }
 
 /// The next step of a search, for the caller to carry out.
@@ -159,7 +159,7 @@
     }
 
     /// Records a healthy response to a probe; true if its upstream is chosen.
-    pub fn answered(&mut self, key: UpstreamKey, pool: &Pool, now_us: u64) -> bool {
+    pub fn record_probe_response(&mut self, key: UpstreamKey, pool: &Pool, now_us: u64) -> bool {
         self.answered.push(key);
         // Without load reports the first response decides: an upstream slow to respond is slow to do work,
         // too.
@@ -214,17 +214,17 @@
     }
 
     fn not_found(&self, pool: &Pool, now_us: u64) -> Found {
-        Found::Nothing(pool.no_upstream_reason(&self.request.service, &self.criteria(), now_us))
+        Found::NoUpstream(pool.no_upstream_reason(&self.request.service, &self.criteria(), now_us))
     }
 
     fn candidates(&self, pool: &mut Pool, now_us: u64) -> Vec<UpstreamKey> {
         pool.candidates(&self.request.service, &self.criteria(), now_us)
     }
 
-    fn criteria(&self) -> Wanted<'_> {
+    fn criteria(&self) -> CandidateCriteria<'_> {
         let SearchRequest { tried, body_bytes, regions, priority, .. } = &self.request;
         let count = self.options.first_round + self.options.second_round;
-        Wanted { tried, body_bytes: *body_bytes, count, regions, priority: *priority }
+        CandidateCriteria { tried, body_bytes: *body_bytes, count, regions, priority: *priority }
     }
 
     /// An upstream that gets the request to find out whether its limit still applies. None for hedges, which
--- a/crates/pointvane-dispatch/src/subset.rs
+++ b/crates/pointvane-dispatch/src/subset.rs
@@ -2,7 +2,7 @@
 //!
 //! A node that spread its requests over hundreds of upstreams would use each so rarely that its connection
 //! would have been closed and its load report would be old. Each node therefore uses a random subset that
-//! stays the same for the life of the process: upstreams of its own data centre, then some of others. For
+//! stays the same for one incarnation of the process: upstreams of its own data centre, then some of others. For
 //! each request a few random upstreams are added, so that better ones can be found. Nodes choose different
 //! subsets, so that each upstream is in the subsets of some nodes. Services no larger than the subset are not
 //! affected. Tests: `most_requests_to_a_large_service_go_to_few_upstreams_and_some_to_each`,
--- a/crates/pointvane-dispatch/src/upstream.rs
+++ b/crates/pointvane-dispatch/src/upstream.rs
@@ -142,18 +142,18 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn attempt_ended(&mut self, outcome: AttemptOutcome, now_us: u64) {
+    pub fn record_attempt(&mut self, outcome: AttemptOutcome, now_us: u64) {
         self.failures.apply(outcome.effect(), now_us);
     }
 
     /// Records the outcome of a probe.
-    pub fn probe_ended(&mut self, outcome: ProbeOutcome, now_us: u64) {
+    pub fn record_probe(&mut self, outcome: ProbeOutcome, now_us: u64) {
         self.failures.apply(outcome.effect(), now_us);
     }
 
     /// Records an attempt that was abandoned because the upstream did not respond in time. Counts as a
     /// failure.
-    pub fn was_unresponsive(&mut self, now_us: u64) {
+    pub fn record_unresponsive(&mut self, now_us: u64) {
         self.failures.apply(Effect::Failure, now_us);
     }
 
--- a/crates/pointvane-dispatch/tests/access.rs
+++ b/crates/pointvane-dispatch/tests/access.rs
@@ -6,7 +6,7 @@
     common::{configuration, route},
     googletest::prelude::*,
     pointvane_core::{AccountRule, ErrorKind, KeyDigest, RouteKind, RouteRule, RoutingConfiguration},
-    pointvane_dispatch::{AllowedRegions, RouteTable, confirm},
+    pointvane_dispatch::{AllowedRegions, RouteTable, check_confirmed},
     rand::{SeedableRng, rngs::SmallRng},
     std::{sync::Arc, time::Duration},
 };
@@ -77,7 +77,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut priority = |account_priority: Option<u32>| {
         let routed = table(None).route("h", "/", &mut rng).unwrap();
-        routed.of_account(Some(account("a", &[], account_priority))).route.priority
+        routed.with_account(Some(account("a", &[], account_priority))).route.priority
     };
     expect_that!(priority(None), eq(2));
     expect_that!(priority(Some(0)), eq(0));
@@ -96,11 +96,11 @@
     let account = account("a", &["1"], None);
     let seconds = |seconds| Some(Duration::from_secs(seconds));
     let refused = err(eq(ErrorKind::AccountsUnconfirmed));
-    expect_that!(confirm(Some(&account), seconds(6), None), ok(()), "no maximum age is set");
-    expect_that!(confirm(Some(&account), seconds(5), seconds(5)), ok(()));
-    expect_that!(confirm(Some(&account), seconds(6), seconds(5)), refused);
-    expect_that!(confirm(Some(&account), None, seconds(5)), err(eq(ErrorKind::AccountsUnconfirmed)));
-    expect_that!(confirm(None, seconds(6), seconds(5)), ok(()), "no account to confirm");
+    expect_that!(check_confirmed(Some(&account), seconds(6), None), ok(()), "no maximum age is set");
+    expect_that!(check_confirmed(Some(&account), seconds(5), seconds(5)), ok(()));
+    expect_that!(check_confirmed(Some(&account), seconds(6), seconds(5)), refused);
+    expect_that!(check_confirmed(Some(&account), None, seconds(5)), err(eq(ErrorKind::AccountsUnconfirmed)));
+    expect_that!(check_confirmed(None, seconds(6), seconds(5)), ok(()), "no account to confirm");
 }
 
 #[gtest]
--- a/crates/pointvane-dispatch/tests/admission_queue.rs
+++ b/crates/pointvane-dispatch/tests/admission_queue.rs
@@ -61,7 +61,7 @@
     }
 
     /// Expected latency of one more request, computed as a node does.
-    fn expected_ms(&self, service: Service) -> f64 {
+    fn expected_latency_ms(&self, service: Service) -> f64 {
         let slowdown_when_full = if self.occupancy() >= 1.0 { service.full_slowdown } else { 1.0 };
         service.service_ms * self.slowdown() * self.occupancy().max(1.0) * slowdown_when_full
     }
@@ -86,9 +86,9 @@
     }
 }
 
-/// Returns the share of the requests that are answered within their target latency. `full_factor` is the
+/// Returns the share of the requests that are answered within their target latency. `full_slowdown` is the
 /// slowdown of full upstreams that nodes have learned.
-fn share_meeting_target(service: Service, burst_per_s: f64, full_factor: f64, seed: u64) -> f64 {
+fn share_meeting_target(service: Service, burst_per_s: f64, full_slowdown: f64, seed: u64) -> f64 {
     let route = RouteRule { target_latency_ms: TARGET_MS, ..route(RouteKind::Unsafe) };
     let policy = AdmissionPolicy::default();
     let mut rng = SmallRng::seed_from_u64(seed);
@@ -109,11 +109,11 @@
             pending.into_iter().partition(|request| request.arrives_ms <= now_ms);
         pending = not_due;
         for request in due {
-            let cost = |upstream: &&mut Upstream| upstream.expected_ms(service);
+            let cost = |upstream: &&mut Upstream| upstream.expected_latency_ms(service);
             let best = upstreams.iter_mut().min_by(|a, b| cost(a).total_cmp(&cost(b))).unwrap();
-            let expected_ms = best.expected_ms(service);
+            let expected_latency_ms = best.expected_latency_ms(service);
             let occupancy = best.occupancy();
-            let estimate = FinishEstimate { elapsed_ms: 0.0, expected_ms, occupancy, full_factor };
+            let estimate = FinishEstimate { elapsed_ms: 0.0, expected_latency_ms, occupancy, full_slowdown };
             if policy.admits(&route, &estimate, best.occupancy() <= 1.0) {
                 best.waiting.push_back(request);
             } else if request.retries < RETRIES_MAX {
@@ -134,8 +134,8 @@
     met_target as f64 / sent as f64
 }
 
-fn mean_share_meeting_target(service: Service, burst_per_s: f64, full_factor: f64) -> f64 {
-    (0..10).map(|seed| share_meeting_target(service, burst_per_s, full_factor, seed)).sum::<f64>() / 10.0
+fn mean_share_meeting_target(service: Service, burst_per_s: f64, full_slowdown: f64) -> f64 {
+    (0..10).map(|seed| share_meeting_target(service, burst_per_s, full_slowdown, seed)).sum::<f64>() / 10.0
 }
 
 /// Learned slowdown at which no request is admitted to a queue.
--- a/crates/pointvane-dispatch/tests/attempts.rs
+++ b/crates/pointvane-dispatch/tests/attempts.rs
@@ -4,9 +4,9 @@
     googletest::prelude::*,
     pointvane_core::{ErrorKind, Outcome, RouteKind, RouteRule, TokenBucket, US_PER_S},
     pointvane_dispatch::{
-        AdmissionPolicy, AttemptOutcome, FinishEstimate, LatencyQuantile, PROBE_WINDOW_S, ProbeBudget,
-        Refusal, RefusedBy, RetryBudget, RetryBudgetOptions, Verdict, first_state_retry_after_ms,
-        first_state_wait_ms, judge, retry_after_ms, search_time_ms,
+        AdmissionPolicy, AttemptOutcome, FinishEstimate, LatencyQuantile, NotRunReason, PROBE_WINDOW_S,
+        ProbeBudget, RefusedBy, RetryBudget, RetryBudgetOptions, RetryDecision, decide_retry,
+        first_state_retry_after_ms, first_state_wait_ms, retry_after_ms, search_time_ms,
     },
     proptest::prelude::*,
 };
@@ -15,9 +15,9 @@
 const OUTCOMES: [AttemptOutcome; 9] = [
     AttemptOutcome::Answered { failed: false },
     AttemptOutcome::Answered { failed: true },
-    AttemptOutcome::NotRun(Refusal::Busy),
-    AttemptOutcome::NotRun(Refusal::Misdirected),
-    AttemptOutcome::NotRun(Refusal::Other),
+    AttemptOutcome::NotRun(NotRunReason::Busy),
+    AttemptOutcome::NotRun(NotRunReason::Misdirected),
+    AttemptOutcome::NotRun(NotRunReason::Other),
     AttemptOutcome::Unsent,
     AttemptOutcome::Broken,
     AttemptOutcome::Crashed,
@@ -28,8 +28,8 @@
 fn non_repeatable_requests_are_never_resent_once_they_may_have_run() {
     for kind in [RouteKind::Unsafe, RouteKind::Upload] {
         for outcome in OUTCOMES {
-            let verdict = judge(kind, outcome, true, true);
-            expect_that!(matches!(verdict, Verdict::Retry { .. }), eq(false), "{kind:?} {outcome:?}");
+            let decision = decide_retry(kind, outcome, true, true);
+            expect_that!(matches!(decision, RetryDecision::Retry { .. }), eq(false), "{kind:?} {outcome:?}");
         }
     }
 }
@@ -39,8 +39,8 @@
     for kind in KINDS {
         for outcome in OUTCOMES {
             for attempts_left in [false, true] {
-                let verdict = judge(kind, outcome, true, attempts_left);
-                if let Verdict::GiveUp(error) = verdict {
+                let decision = decide_retry(kind, outcome, true, attempts_left);
+                if let RetryDecision::GiveUp(error) = decision {
                     expect_that!(error.answer().outcome, not(eq(Outcome::NotRun)), "{kind:?} {outcome:?}");
                 }
             }
@@ -51,21 +51,24 @@
 #[gtest]
 fn a_refusal_by_an_upstream_is_retried_and_takes_a_token() {
     for kind in KINDS {
-        let verdict = judge(kind, AttemptOutcome::NotRun(Refusal::Busy), false, true);
-        expect_that!(verdict, eq(Verdict::Retry { takes_token: true }));
-        let verdict = judge(kind, AttemptOutcome::Unsent, false, true);
-        expect_that!(verdict, eq(Verdict::Retry { takes_token: false }));
-        let verdict = judge(kind, AttemptOutcome::NotRun(Refusal::Busy), false, false);
-        expect_that!(verdict, eq(Verdict::GiveUp(ErrorKind::Overloaded)));
+        let decision = decide_retry(kind, AttemptOutcome::NotRun(NotRunReason::Busy), false, true);
+        expect_that!(decision, eq(RetryDecision::Retry { takes_token: true }));
+        let decision = decide_retry(kind, AttemptOutcome::Unsent, false, true);
+        expect_that!(decision, eq(RetryDecision::Retry { takes_token: false }));
+        let decision = decide_retry(kind, AttemptOutcome::NotRun(NotRunReason::Busy), false, false);
+        expect_that!(decision, eq(RetryDecision::GiveUp(ErrorKind::Overloaded)));
     }
 }
 
 #[gtest]
 fn an_upstream_error_is_delivered_when_no_retry_is_possible() {
     let failed = AttemptOutcome::Answered { failed: true };
-    expect_that!(judge(RouteKind::Safe, failed, true, true), eq(Verdict::Retry { takes_token: true }));
-    expect_that!(judge(RouteKind::Safe, failed, true, false), eq(Verdict::Deliver));
-    expect_that!(judge(RouteKind::Unsafe, failed, true, true), eq(Verdict::Deliver));
+    expect_that!(
+        decide_retry(RouteKind::Safe, failed, true, true),
+        eq(RetryDecision::Retry { takes_token: true })
+    );
+    expect_that!(decide_retry(RouteKind::Safe, failed, true, false), eq(RetryDecision::Deliver));
+    expect_that!(decide_retry(RouteKind::Unsafe, failed, true, true), eq(RetryDecision::Deliver));
 }
 
 proptest! {
@@ -151,8 +154,9 @@
 #[gtest]
 fn the_least_urgent_requests_are_refused_first() {
     let policy = AdmissionPolicy::default();
-    let is_refused = |priority: u32, expected_ms: f64| {
-        let estimate = FinishEstimate { elapsed_ms: 10.0, expected_ms, occupancy: 1.0, full_factor: 1.0 };
+    let is_refused = |priority: u32, expected_latency_ms: f64| {
+        let estimate =
+            FinishEstimate { elapsed_ms: 10.0, expected_latency_ms, occupancy: 1.0, full_slowdown: 1.0 };
         policy.is_too_late(&route(priority), &estimate)
     };
     expect_that!(is_refused(2, 100.0), eq(false), "meets its target");
@@ -166,16 +170,17 @@
 #[gtest]
 fn a_full_upstream_gets_a_request_only_if_it_meets_its_target_there() {
     let policy = AdmissionPolicy::default();
-    let estimate_at_occupancy = |expected_ms, occupancy, full_factor| FinishEstimate {
+    let estimate_at_occupancy = |expected_latency_ms, occupancy, full_slowdown| FinishEstimate {
         elapsed_ms: 10.0,
-        expected_ms,
+        expected_latency_ms,
         occupancy,
-        full_factor,
+        full_slowdown,
     };
-    let estimate = |expected_ms, full_factor| estimate_at_occupancy(expected_ms, 1.5, full_factor);
+    let estimate =
+        |expected_latency_ms, full_slowdown| estimate_at_occupancy(expected_latency_ms, 1.5, full_slowdown);
     for priority in 0..3 {
-        let admits = |expected_ms, full_factor, has_room| {
-            policy.admits(&route(priority), &estimate(expected_ms, full_factor), has_room)
+        let admits = |expected_latency_ms, full_slowdown, has_capacity| {
+            policy.admits(&route(priority), &estimate(expected_latency_ms, full_slowdown), has_capacity)
         };
         expect_that!(admits(100.0, 1.0, true), eq(true));
         expect_that!(admits(132.0, 1.0, false), eq(true), "queued, and expected to meet its target");
--- a/crates/pointvane-dispatch/tests/common/mod.rs
+++ b/crates/pointvane-dispatch/tests/common/mod.rs
@@ -17,11 +17,11 @@
     }
 }
 
-pub fn told(id: &str, sequence: u64) -> Change {
+pub fn upstream_change(id: &str, sequence: u64) -> Change {
     Change::Upstream(record(id, sequence))
 }
 
-pub fn gone(id: &str) -> Change {
+pub fn upstream_removal(id: &str) -> Change {
     Change::UpstreamGone(id.into())
 }
 
@@ -29,7 +29,7 @@
     RoutingConfiguration { version, ..RoutingConfiguration::default() }
 }
 
-pub fn configured(version: u64) -> Change {
+pub fn configuration_change(version: u64) -> Change {
     Change::Configuration(Box::new(configuration(version)))
 }
 
--- a/crates/pointvane-dispatch/tests/crash_fleet/mod.rs
+++ b/crates/pointvane-dispatch/tests/crash_fleet/mod.rs
@@ -4,8 +4,8 @@
 
 use {
     pointvane_dispatch::{
-        BodyFingerprint, DIRECT_MAX, FAN_OUT, HeadFingerprint, NewsBudget, Quarantine, QuarantineMessage,
-        QuarantineOptions, QueryScope, RequestFingerprint, SuspectNews, TrialTurn,
+        BodyFingerprint, BroadcastBudget, DIRECT_SEND_MAX, FAN_OUT, HeadFingerprint, Quarantine,
+        QuarantineMessage, QuarantineOptions, QueryScope, RequestFingerprint, SuspectReport, TrialPosition,
     },
     pointvane_mesh::codec,
     rand::{Rng, SeedableRng, rngs::SmallRng, seq::IteratorRandom},
@@ -80,7 +80,7 @@
 
 struct Node {
     quarantine: Quarantine,
-    budget: NewsBudget,
+    budget: BroadcastBudget,
     fault: Option<Fault>,
     /// Quarantine bytes sent, by second.
     bytes_by_second: BTreeMap<u64, usize>,
@@ -129,7 +129,7 @@
     RunEnd { upstream: usize, run: u64 },
     Crash(usize),
     Restart(usize),
-    News { to: usize, news: Vec<SuspectNews> },
+    Reports { to: usize, reports: Vec<SuspectReport> },
     Pull { from: usize, to: usize },
     Round { node: usize, number: u64 },
 }
@@ -170,7 +170,7 @@
         };
         let node = |number| Node {
             quarantine: Quarantine::new(options, number as u64, 0),
-            budget: NewsBudget::new(0),
+            budget: BroadcastBudget::new(0),
             fault: None,
             bytes_by_second: BTreeMap::new(),
             pull_answered: false,
@@ -205,7 +205,8 @@
     pub fn request(&mut self, crashing: bool) -> usize {
         let path = format!("/{}", self.requests.len());
         let head = HeadFingerprint::new("GET", "app.example", &path, None);
-        self.requests.push((head.with_rest(QueryScope::Any, BodyFingerprint::new(b"", Some(0))), crashing));
+        self.requests
+            .push((head.with_query_and_body(QueryScope::Any, BodyFingerprint::new(b"", Some(0))), crashing));
         self.requests.len() - 1
     }
 
@@ -274,8 +275,8 @@
 
     /// Returns true if a node would refuse a request now.
     pub fn refuses(&self, node: usize, request: usize) -> bool {
-        let turn = TrialTurn { position: 1.0, nodes: self.nodes.len() };
-        self.nodes[node].quarantine.refuses(&self.requests[request].0, &turn, self.now_us)
+        let trial_position = TrialPosition { position: 1.0, nodes: self.nodes.len() };
+        self.nodes[node].quarantine.refuses(&self.requests[request].0, &trial_position, self.now_us)
     }
 
     fn handle(&mut self, event: Event) {
@@ -288,11 +289,13 @@
             Event::RunEnd { upstream, run } => self.end_run(upstream, run),
             Event::Crash(upstream) => self.crash_upstream(upstream),
             Event::Restart(upstream) => self.upstreams[upstream] = Some(BTreeMap::new()),
-            Event::News { to, news } => match self.nodes[to].paused_until(self.now_us) {
-                Some(later) if self.rng.random_bool(0.5) => self.schedule(later, Event::News { to, news }),
+            Event::Reports { to, reports } => match self.nodes[to].paused_until(self.now_us) {
+                Some(later) if self.rng.random_bool(0.5) => {
+                    self.schedule(later, Event::Reports { to, reports })
+                }
                 Some(_) => {}
                 None => {
-                    self.nodes[to].quarantine.receive(&news, self.now_us);
+                    self.nodes[to].quarantine.receive(&reports, self.now_us);
                 }
             },
             Event::Pull { from, to } => self.pull(from, to),
@@ -300,18 +303,18 @@
         }
     }
 
-    fn turn(&self, caller_attempt: &CallerAttempt) -> TrialTurn {
+    fn trial_position(&self, caller_attempt: &CallerAttempt) -> TrialPosition {
         // A different order of nodes for each request.
         let position = ((caller_attempt.node * 7 + caller_attempt.request * 13) % self.nodes.len()) as f64;
-        TrialTurn { position: position / self.nodes.len() as f64, nodes: self.nodes.len() }
+        TrialPosition { position: position / self.nodes.len() as f64, nodes: self.nodes.len() }
     }
 
     fn start_attempt(&mut self, caller_attempt: CallerAttempt) {
         let (fingerprint, crashing) = self.requests[caller_attempt.request];
-        let turn = self.turn(&caller_attempt);
+        let trial_position = self.trial_position(&caller_attempt);
         self.stats.harmless_attempts += usize::from(!crashing);
         let quarantine = &mut self.nodes[caller_attempt.node].quarantine;
-        if quarantine.refuses(&fingerprint, &turn, self.now_us) {
+        if quarantine.refuses(&fingerprint, &trial_position, self.now_us) {
             self.stats.false_refusals += usize::from(!crashing);
             *self.false_refusals_by_node.entry(caller_attempt.node).or_default() += usize::from(!crashing);
             return self.schedule_retry(caller_attempt);
@@ -350,13 +353,13 @@
             .as_ref()
             .is_some_and(|(node, when)| *node == caller_attempt.node && when.contains(&self.now_us));
         if is_misreported {
-            self.nodes[caller_attempt.node].quarantine.crashed(
+            self.nodes[caller_attempt.node].quarantine.record_crash(
                 fingerprint,
                 self.now_us - RUN_DURATION_US.start,
                 self.now_us,
             );
         } else {
-            self.nodes[caller_attempt.node].quarantine.survived(fingerprint, self.now_us);
+            self.nodes[caller_attempt.node].quarantine.record_success(fingerprint, self.now_us);
         }
         self.broadcast(caller_attempt.node);
     }
@@ -382,7 +385,7 @@
             let (fingerprint, _) = self.requests[run.caller_attempt.request];
             let node = &mut self.nodes[run.caller_attempt.node];
             let detected_us = node.paused_until(self.now_us).unwrap_or(self.now_us);
-            node.quarantine.crashed(fingerprint, run.began_us, detected_us);
+            node.quarantine.record_crash(fingerprint, run.began_us, detected_us);
             self.broadcast(run.caller_attempt.node);
             if run.caller_attempt.sends < 2 {
                 self.schedule(detected_us + MS, Event::Attempt(run.caller_attempt));
@@ -416,14 +419,14 @@
             return;
         }
         loop {
-            let news = self.nodes[node].quarantine.take_urgent(self.now_us);
-            if news.is_empty() {
+            let reports = self.nodes[node].quarantine.take_broadcast(self.now_us);
+            if reports.is_empty() {
                 return;
             }
             let others = self.nodes.len() - 1;
-            let wanted = if others <= DIRECT_MAX { others } else { FAN_OUT };
-            let peers = self.nodes[node].budget.take(datagram_bytes(&news), wanted, self.now_us);
-            self.send_to_random(node, &news, peers);
+            let wanted = if others <= DIRECT_SEND_MAX { others } else { FAN_OUT };
+            let peers = self.nodes[node].budget.take(datagram_bytes(&reports), wanted, self.now_us);
+            self.send_to_random(node, &reports, peers);
         }
     }
 
@@ -433,8 +436,8 @@
         if at_us != self.now_us + GOSSIP_ROUND_US {
             return;
         }
-        let news = self.nodes[node].quarantine.take_round(self.now_us);
-        self.send_to_random(node, &news, GOSSIP_PEERS);
+        let reports = self.nodes[node].quarantine.take_gossip_round(self.now_us);
+        self.send_to_random(node, &reports, GOSSIP_PEERS);
         if number.is_multiple_of(ROUNDS_PER_PAGE) {
             self.nodes[node].quarantine.expire(self.now_us);
             let page = self.nodes[node].quarantine.next_page(self.now_us);
@@ -458,18 +461,18 @@
         pages.iter().for_each(|page| self.send_datagram(to, from, page));
     }
 
-    fn send_to_random(&mut self, from: usize, news: &[SuspectNews], peers: usize) {
-        if news.is_empty() {
+    fn send_to_random(&mut self, from: usize, reports: &[SuspectReport], peers: usize) {
+        if reports.is_empty() {
             return;
         }
         let others = (0..self.nodes.len()).filter(|other| *other != from);
         for peer in others.choose_multiple(&mut self.rng, peers) {
-            self.send_datagram(from, peer, news);
+            self.send_datagram(from, peer, reports);
         }
     }
 
-    fn send_datagram(&mut self, from: usize, to: usize, news: &[SuspectNews]) {
-        let bytes = datagram_bytes(news);
+    fn send_datagram(&mut self, from: usize, to: usize, reports: &[SuspectReport]) {
+        let bytes = datagram_bytes(reports);
         *self.nodes[from].bytes_by_second.entry(self.now_us / S).or_default() += bytes;
         let lost = self.rng.random_bool(self.loss_rate);
         if lost || self.nodes[from].is_partitioned(self.now_us) || self.nodes[to].is_partitioned(self.now_us)
@@ -477,12 +480,12 @@
             return;
         }
         let latency_us = self.rng.random_range(LATENCY_US);
-        self.schedule(self.now_us + latency_us, Event::News { to, news: news.to_vec() });
+        self.schedule(self.now_us + latency_us, Event::Reports { to, reports: reports.to_vec() });
     }
 }
 
 /// Size of a datagram in bytes, including IP and UDP headers.
-fn datagram_bytes(news: &[SuspectNews]) -> usize {
-    let message = QuarantineMessage::News(news.to_vec());
+fn datagram_bytes(reports: &[SuspectReport]) -> usize {
+    let message = QuarantineMessage::Reports(reports.to_vec());
     codec::encode(&message).map_or(0, |bytes| bytes.len() + codec::UDP_HEAD_BYTES)
 }
--- a/crates/pointvane-dispatch/tests/evacuations.rs
+++ b/crates/pointvane-dispatch/tests/evacuations.rs
@@ -4,13 +4,13 @@
 mod common;
 
 use {
-    common::{configured, gone, page, record, told},
+    common::{configuration_change, page, record, upstream_change, upstream_removal},
     googletest::prelude::*,
     pointvane_core::{Change, ErrorKind, Evacuation, Name, UpstreamLoad, UpstreamRecord},
     pointvane_dispatch::{
-        AllowedRegions, CallFailure, Found, Ineligible, KnownState, PlatformReader, Pool, RankingOptions,
-        ReadMark, ReaderOptions, ReaderRole, Relay, Search, SearchGoal, SearchOptions, SearchRequest,
-        SearchStep, StateReply, StateRequest, UpstreamKey, Wanted,
+        AllowedRegions, CallFailure, CandidateCriteria, Found, Ineligible, KnownState, PlatformReader, Pool,
+        RankingOptions, ReadMark, ReaderOptions, ReaderRole, Relay, Search, SearchGoal, SearchOptions,
+        SearchRequest, SearchStep, StateReply, StateRequest, UpstreamKey,
     },
     std::iter,
 };
@@ -60,13 +60,13 @@
     }
 
     fn read_page(&mut self, page: pointvane_core::ChangePage, now_us: u64) {
-        let changes = self.reader.page_read(page, self.pool.listed(), now_us);
+        let changes = self.reader.receive_page(page, self.pool.listed_changes(), now_us);
         self.apply(changes, now_us);
     }
 
     fn receive_watch_answer(&mut self, revision: u64, changes: Vec<Change>, now_us: u64) {
         self.reader.next(now_us);
-        let changes = self.reader.watch_answered(page(revision, changes), now_us);
+        let changes = self.reader.receive_watch_response(page(revision, changes), now_us);
         self.apply(changes, now_us);
     }
 
@@ -78,19 +78,24 @@
     fn query_peer(&mut self, peer: &Self, now_us: u64) {
         let request = StateRequest { known: self.reader.mark() };
         let reply = peer.reader.answer(&request, &peer.known_state(), now_us).unwrap();
-        let changes = self.reader.receive_state(reply, self.pool.known(), now_us);
+        let changes = self.reader.receive_state(reply, self.pool.known_changes(), now_us);
         self.apply(changes, now_us);
     }
 
     fn known_state(&self) -> FixedState {
-        FixedState(self.pool.listed().collect())
+        FixedState(self.pool.listed_changes().collect())
     }
 
     /// The ids of the upstreams that are candidates, sorted.
     fn candidates(&mut self, now_us: u64) -> Vec<String> {
-        let wanted =
-            Wanted { priority: 0, tried: &[], body_bytes: 0, count: 9, regions: &AllowedRegions::ANY };
-        let keys = self.pool.candidates(&"dispatch".into(), &wanted, now_us);
+        let criteria = CandidateCriteria {
+            priority: 0,
+            tried: &[],
+            body_bytes: 0,
+            count: 9,
+            regions: &AllowedRegions::ANY,
+        };
+        let keys = self.pool.candidates(&"dispatch".into(), &criteria, now_us);
         let mut names: Vec<String> = keys.iter().map(|key| self.name(*key)).collect();
         names.sort();
         names
@@ -101,9 +106,14 @@
     }
 
     fn key(&mut self, id: &str, now_us: u64) -> UpstreamKey {
-        let wanted =
-            Wanted { priority: 0, tried: &[], body_bytes: 0, count: 9, regions: &AllowedRegions::ANY };
-        let keys = self.pool.candidates(&"dispatch".into(), &wanted, now_us);
+        let criteria = CandidateCriteria {
+            priority: 0,
+            tried: &[],
+            body_bytes: 0,
+            count: 9,
+            regions: &AllowedRegions::ANY,
+        };
+        let keys = self.pool.candidates(&"dispatch".into(), &criteria, now_us);
         keys.into_iter().find(|key| self.name(*key) == id).unwrap()
     }
 }
@@ -144,7 +154,7 @@
     node.receive_watch_answer(6, vec![evacuation_change("two", true, 6), upstream("d", "two")], 10 * MS);
     for id in ["a", "b"] {
         let key = node.key(id, 10 * MS);
-        (0..3).for_each(|_| node.pool.get_mut(key).unwrap().was_unresponsive(10 * MS));
+        (0..3).for_each(|_| node.pool.get_mut(key).unwrap().record_unresponsive(10 * MS));
     }
     expect_that!(
         node.candidates(11 * MS),
@@ -209,7 +219,7 @@
     let mut by_state = evacuated_node();
     let mark = ReadMark { revision: 9, version: 0 };
     let reply = StateReply::new(mark, 0, true, all_upstreams(), None);
-    let changes = by_state.reader.receive_state(reply, by_state.pool.known(), 30 * MS);
+    let changes = by_state.reader.receive_state(reply, by_state.pool.known_changes(), 30 * MS);
     by_state.apply(changes, 30 * MS);
     expect_that!(by_state.candidates(30 * MS).len(), eq(3), "whole state without it");
 
@@ -222,12 +232,12 @@
 fn neither_an_outage_nor_an_older_state_ends_an_evacuation() {
     let mut node = Node::with_upstreams();
     node.reader.compare_with_peers(ReaderRole::Follower, 5, MS);
-    // The evacuation arrives early, by a relay after a gap; then a peer sends a whole state with a lower
+    // The evacuation arrives early, by a relay after a gap; then a peer sends a full state with a lower
     // revision.
     node.receive_relay(relay(8, 9, vec![evacuation_change("one", true, 9)]), 10 * MS);
     let mark = ReadMark { revision: 7, version: 0 };
     let older = StateReply::new(mark, 0, true, vec![upstream("a", "one"), upstream("c", "two")], None);
-    let changes = node.reader.receive_state(older, node.pool.known(), 20 * MS);
+    let changes = node.reader.receive_state(older, node.pool.known_changes(), 20 * MS);
     node.apply(changes, 20 * MS);
     expect_that!(node.candidates(20 * MS), elements_are![eq("c")], "older state");
 
@@ -253,11 +263,12 @@
     );
     watcher.receive_watch_answer(
         7,
-        vec![evacuation_change("one", false, 7), told("d", 1), gone("d")],
+        vec![evacuation_change("one", false, 7), upstream_change("d", 1), upstream_removal("d")],
         400 * MS,
     );
     let relay = watcher.reader.relay(400 * MS).unwrap();
-    let expected = [evacuation_change("two", true, 6), evacuation_change("one", false, 7), gone("d")];
+    let expected =
+        [evacuation_change("two", true, 6), evacuation_change("one", false, 7), upstream_removal("d")];
     expect_that!(relay.changes, elements_are![eq(&expected[0]), eq(&expected[1]), eq(&expected[2])]);
 }
 
@@ -298,10 +309,10 @@
         node.pool.apply_evacuation(Evacuation { data_centre: "one".into(), active: true, revision: MS });
         let load = UpstreamLoad { running: 0, waiting: 0, slots: 3, slowdown_percent: 100 };
         node.pool.record_load(key, load, 2 * MS);
-        expect_that!(search.answered(key, &node.pool, 2 * MS), eq(false));
+        expect_that!(search.record_probe_response(key, &node.pool, 2 * MS), eq(false));
         node.pool.apply_evacuation(Evacuation { data_centre: "one".into(), active: false, revision: 2 * MS });
         node.pool.record_load(key, load, 3 * MS);
-        expect_that!(search.answered(key, &node.pool, 3 * MS), eq(true));
+        expect_that!(search.record_probe_response(key, &node.pool, 3 * MS), eq(true));
         node = Node::with_upstreams();
     }
 }
@@ -316,7 +327,7 @@
     );
     let mut search = new_search(&node, SearchGoal::Best { until_us: 20 * MS });
     let step = search.next(&mut node.pool, 30 * MS);
-    expect_that!(step, eq(&SearchStep::Done(Found::Nothing(Ineligible::Evacuated))));
+    expect_that!(step, eq(&SearchStep::Done(Found::NoUpstream(Ineligible::Evacuated))));
     expect_that!(Ineligible::Evacuated.error(), eq(ErrorKind::Evacuated));
     let row = ErrorKind::Evacuated.answer();
     expect_that!((row.status, row.name, row.retry_after), eq((503, "evacuated", true)));
@@ -331,7 +342,7 @@
         node.pool.apply_evacuation(Evacuation { data_centre, active: false, revision: revision + 1 });
     }
     expect_that!(node.pool.evacuations().count(), eq(0));
-    expect_that!(node.pool.listed().count(), eq(3));
-    let configuration = iter::once(configured(1)).filter_map(|change| change.entry()).count();
+    expect_that!(node.pool.listed_changes().count(), eq(3));
+    let configuration = iter::once(configuration_change(1)).filter_map(|change| change.entry()).count();
     expect_that!(configuration, eq(0));
 }
--- a/crates/pointvane-dispatch/tests/lapses.rs
+++ b/crates/pointvane-dispatch/tests/expired_entries.rs
@@ -3,11 +3,12 @@
 mod common;
 
 use {
-    common::{gone, page, record, told},
+    common::{page, record, upstream_change, upstream_removal},
     googletest::prelude::*,
     pointvane_core::{Change, ChangePage, Name, UpstreamRecord},
     pointvane_dispatch::{
-        AllowedRegions, CallFailure, PlatformReader, Pool, RankingOptions, ReaderOptions, ReaderRole, Wanted,
+        AllowedRegions, CallFailure, CandidateCriteria, PlatformReader, Pool, RankingOptions, ReaderOptions,
+        ReaderRole,
     },
 };
 
@@ -23,7 +24,7 @@
     fn new(ids: &[&str], now_us: u64) -> Self {
         let mut reader =
             PlatformReader::new(ReaderOptions { start_queries: 0, ..ReaderOptions::default() }, 1);
-        reader.page_read(page(5, Vec::new()), [].into_iter(), now_us);
+        reader.receive_page(page(5, Vec::new()), [].into_iter(), now_us);
         let mut pool = Pool::new(RankingOptions::default(), "one".into(), 1);
         ids.iter().for_each(|id| _ = pool.upsert(record(id, 1), now_us));
         reader.compare_with_peers(ReaderRole::Watcher, 5, now_us);
@@ -38,15 +39,15 @@
         }
     }
 
-    fn watch_answered(&mut self, page: ChangePage, now_ms: u64) {
+    fn receive_watch_response(&mut self, page: ChangePage, now_ms: u64) {
         let now_us = now_ms * MS;
         self.reader.next(now_us);
-        let changes = self.reader.watch_answered(page, now_us);
+        let changes = self.reader.receive_watch_response(page, now_us);
         for change in changes {
             match change {
                 Change::Upstream(record) => _ = self.pool.upsert(record, now_us),
                 Change::UpstreamGone(id) => {
-                    _ = self.pool.entry_removed(&id, self.reader.grace_until_us(), now_us)
+                    _ = self.pool.handle_entry_removal(&id, self.reader.grace_until_us(), now_us)
                 }
                 Change::Evacuation(_) | Change::Configuration(_) | Change::ConfigurationDeltas(_) => {}
             }
@@ -54,10 +55,15 @@
     }
 
     fn usable_upstreams(&mut self, now_ms: u64) -> usize {
-        self.pool.forget_expired(now_ms * MS);
-        let wanted =
-            Wanted { priority: 0, tried: &[], body_bytes: 0, count: 9, regions: &AllowedRegions::ANY };
-        self.pool.candidates(&"dispatch".into(), &wanted, now_ms * MS).len()
+        self.pool.remove_expired(now_ms * MS);
+        let criteria = CandidateCriteria {
+            priority: 0,
+            tried: &[],
+            body_bytes: 0,
+            count: 9,
+            regions: &AllowedRegions::ANY,
+        };
+        self.pool.candidates(&"dispatch".into(), &criteria, now_ms * MS).len()
     }
 }
 
@@ -65,9 +71,9 @@
 fn upstreams_whose_entries_expired_in_an_outage_stay_usable_for_the_grace_period() {
     let mut node = TestNode::new(&["a", "b"], MS);
     node.fail_calls(1_000, 5_500);
-    node.watch_answered(page(7, vec![gone("a"), gone("b")]), 5_500);
+    node.receive_watch_response(page(7, vec![upstream_removal("a"), upstream_removal("b")]), 5_500);
     expect_that!(node.usable_upstreams(5_600), eq(2));
-    node.watch_answered(page(8, vec![told("a", 9)]), 7_000);
+    node.receive_watch_response(page(8, vec![upstream_change("a", 9)]), 7_000);
     expect_that!(node.usable_upstreams(7_600), eq(2));
     expect_that!(node.usable_upstreams(7_800), eq(1), "the other has expired");
     expect_that!(node.usable_upstreams(20_000), eq(1));
@@ -76,8 +82,8 @@
 #[gtest]
 fn without_an_outage_a_removed_upstream_is_dropped_at_once() {
     let mut node = TestNode::new(&["a"], MS);
-    node.watch_answered(page(6, Vec::new()), 2_000);
-    node.watch_answered(page(7, vec![gone("a")]), 3_900);
+    node.receive_watch_response(page(6, Vec::new()), 2_000);
+    node.receive_watch_response(page(7, vec![upstream_removal("a")]), 3_900);
     expect_that!(node.usable_upstreams(3_900), eq(0));
 }
 
@@ -85,8 +91,8 @@
 fn long_after_an_outage_a_removed_upstream_is_dropped_at_once() {
     let mut node = TestNode::new(&["a"], MS);
     node.fail_calls(1_000, 5_500);
-    node.watch_answered(page(6, Vec::new()), 5_500);
-    node.watch_answered(page(7, vec![gone("a")]), 7_800);
+    node.receive_watch_response(page(6, Vec::new()), 5_500);
+    node.receive_watch_response(page(7, vec![upstream_removal("a")]), 7_800);
     expect_that!(node.usable_upstreams(7_800), eq(0));
 }
 
@@ -97,7 +103,7 @@
     // Peers have kept reading: the platform was available.
     node.reader.compare_with_peers(ReaderRole::Watcher, 7, 4_000 * MS);
     node.fail_calls(4_000, 5_500);
-    node.watch_answered(page(7, vec![gone("a")]), 5_500);
+    node.receive_watch_response(page(7, vec![upstream_removal("a")]), 5_500);
     expect_that!(node.usable_upstreams(5_500), eq(0));
 }
 
@@ -106,7 +112,7 @@
     let mut node = TestNode::new(&["a"], MS);
     node.fail_calls(1_000, 5_000);
     node.reader.compare_with_peers(ReaderRole::Watcher, 7, 5_000 * MS);
-    node.watch_answered(page(7, vec![gone("a")]), 5_500);
+    node.receive_watch_response(page(7, vec![upstream_removal("a")]), 5_500);
     expect_that!(node.usable_upstreams(5_500), eq(1));
 }
 
@@ -115,7 +121,7 @@
     let mut node = TestNode::new(&["a", "b"], MS);
     node.pool.upsert(UpstreamRecord { draining: true, ..record("a", 2) }, MS);
     node.fail_calls(1_000, 5_500);
-    node.watch_answered(page(7, vec![gone("a")]), 5_500);
+    node.receive_watch_response(page(7, vec![upstream_removal("a")]), 5_500);
     let a: Name = "a".into();
     expect_that!(node.pool.ids().any(|id| *id == a), eq(false));
 }
@@ -124,7 +130,7 @@
 fn an_expired_upstream_is_not_sent_to_other_nodes() {
     let mut node = TestNode::new(&["a", "b"], MS);
     node.fail_calls(1_000, 5_500);
-    node.watch_answered(page(7, vec![gone("a")]), 5_500);
+    node.receive_watch_response(page(7, vec![upstream_removal("a")]), 5_500);
     let sent: Vec<_> = node.pool.records().map(|record| record.id.to_string()).collect();
     expect_that!(sent, elements_are![eq("b")]);
 }
@@ -137,9 +143,9 @@
     for now_ms in (100..3_000).step_by(100) {
         node.reader.compare_with_peers(ReaderRole::Watcher, 5, now_ms * MS);
     }
-    node.watch_answered(page(5, Vec::new()), 2_900);
+    node.receive_watch_response(page(5, Vec::new()), 2_900);
     // The process is suspended.
     node.reader.compare_with_peers(ReaderRole::Watcher, 7, 10_000 * MS);
-    node.watch_answered(page(7, vec![gone("a")]), 10_100);
+    node.receive_watch_response(page(7, vec![upstream_removal("a")]), 10_100);
     expect_that!(node.usable_upstreams(10_200), eq(0));
 }
--- a/crates/pointvane-dispatch/tests/fan_out.rs
+++ b/crates/pointvane-dispatch/tests/fan_out.rs
@@ -35,7 +35,8 @@
         for Forwarder { node, segment } in senders {
             let others =
                 (0..hashes.len()).filter(|other| *other != node && *other != 0 && knows(node, *other));
-            let mut others: Vec<_> = others.map(|node| OrderedNode { hash: hashes[node], node }).collect();
+            let mut others: Vec<_> =
+                others.map(|node| OrderedNode { position: hashes[node], node }).collect();
             let forwarders = forwarders(segment, hashes[node], &mut others, fan_out, rng);
             result.sends_max = result.sends_max.max(forwarders.len());
             for forwarder in forwarders {
--- a/crates/pointvane-dispatch/tests/fingerprint.rs
+++ b/crates/pointvane-dispatch/tests/fingerprint.rs
@@ -22,7 +22,7 @@
 impl RequestParts {
     fn fingerprint(self) -> RequestFingerprint {
         HeadFingerprint::new(self.method, self.host, self.path, self.credentials)
-            .with_rest(self.query, BodyFingerprint::new(self.body, self.length))
+            .with_query_and_body(self.query, BodyFingerprint::new(self.body, self.length))
     }
 }
 
@@ -77,7 +77,7 @@
     let long = vec![7; FINGERPRINT_BODY_BYTES * 2];
     let length = long.len() as u64;
     let fingerprint =
-        |body, length| head.with_rest(BASE_REQUEST.query, BodyFingerprint::new(body, Some(length)));
+        |body, length| head.with_query_and_body(BASE_REQUEST.query, BodyFingerprint::new(body, Some(length)));
     let whole = fingerprint(&long, length);
     expect_that!(fingerprint(&long[..FINGERPRINT_BODY_BYTES + 9], length), eq(whole));
     expect_that!(fingerprint(&long, length + 1), not(eq(whole)));
--- a/crates/pointvane-dispatch/tests/fleet/mod.rs
+++ b/crates/pointvane-dispatch/tests/fleet/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use {
-    crate::common::{configuration, configured, page, told},
+    crate::common::{configuration, configuration_change, page, upstream_change},
     pointvane_core::{Change, ChangePage, RoutingConfiguration, RoutingDelta},
     pointvane_dispatch::{
         Broadcaster, CallFailure, KnownState, PeerQuery, PlatformReader, QueryCandidate, QueryTarget,
@@ -142,8 +142,8 @@
 
     fn changes(&self, revision: u64) -> Vec<Change> {
         match self.publishes_configurations {
-            true => vec![configured(revision)],
-            false => vec![told("one", 1)],
+            true => vec![configuration_change(revision)],
+            false => vec![upstream_change("one", 1)],
         }
     }
 }
@@ -178,7 +178,7 @@
 
 impl KnownState for SimState {
     fn entries(&self) -> Vec<Change> {
-        (0..self.upstreams).map(|number| told(&format!("i-{number}"), 1)).collect()
+        (0..self.upstreams).map(|number| upstream_change(&format!("i-{number}"), 1)).collect()
     }
 
     fn configuration(&self) -> RoutingConfiguration {
@@ -242,7 +242,7 @@
         {
             self.query = Some((query, now_ms + PEER_ANSWER_MS));
         }
-        if self.reader.is_to_be_interrupted() {
+        if self.reader.should_interrupt() {
             self.pending = None;
         }
         // After the start a node waits for the peer's response before it calls the platform.
@@ -310,7 +310,7 @@
             && platform.pages > 1
         {
             let number = next_page.as_ref().map_or(0, |number| number.parse().unwrap());
-            self.reader.answer_began(now_ms * MS);
+            self.reader.response_started(now_ms * MS);
             return self.receive_response(
                 pending,
                 now_ms + platform.page_ms,
@@ -325,18 +325,18 @@
         let changes = if versions > 0 { platform.changes(revision) } else { Vec::new() };
         let transfer_ms = versions * platform.transfer_ms;
         let size_bytes = (transfer_ms * LINK_BYTES_PER_MS) as usize;
-        self.reader.answer_began(now_ms * MS);
+        self.reader.response_started(now_ms * MS);
         if size_bytes > bytes_max {
-            return self.reader.call_failed(CallFailure::LongerThanState, now_ms * MS);
+            return self.reader.call_failed(CallFailure::ExceedsSnapshotSize, now_ms * MS);
         }
-        self.reader.answer_came(size_bytes);
+        self.reader.response_received(size_bytes);
         self.receive_response(pending, now_ms + transfer_ms, page(revision, changes), now_ms);
     }
 
     /// Delivers a response once its last byte has arrived, or a truncated one if the transfer takes too long.
     fn receive_response(&mut self, mut pending: Pending, at_ms: u64, page: ChangePage, now_ms: u64) {
         if now_ms >= pending.timeout_at_ms + TRANSFER_MAX_MS {
-            return self.reader.call_failed(CallFailure::BrokenOff, now_ms * MS);
+            return self.reader.call_failed(CallFailure::Truncated, now_ms * MS);
         }
         if now_ms < at_ms {
             pending.transfer = Some((at_ms, page));
@@ -345,8 +345,8 @@
         }
         self.response_received = true;
         match pending.call {
-            ReaderCall::Watch { .. } => self.reader.watch_answered(page, now_ms * MS),
-            _ => self.reader.page_read(page, [].into_iter(), now_ms * MS),
+            ReaderCall::Watch { .. } => self.reader.receive_watch_response(page, now_ms * MS),
+            _ => self.reader.receive_page(page, [].into_iter(), now_ms * MS),
         };
     }
 
@@ -384,7 +384,7 @@
         let is_reading = fleet[peer].reader.is_reading();
         let state = SimState { mark: fleet[peer].reader.mark(), upstreams };
         let is_newer = fleet[peer].reader.newer_age_ms(&request, now_ms * MS).is_some();
-        let whole = is_newer && fleet[peer].reader.answers_whole(&request);
+        let whole = is_newer && fleet[peer].reader.answers_with_full_state(&request);
         whole_states[peer] += usize::from(whole);
         let rejected = whole && whole_states[peer] > WHOLE_STATES_PER_STEP;
         let reply: Option<StateReply> = match lost || rejected {
@@ -394,7 +394,7 @@
         match reply {
             Some(reply) => _ = fleet[querier].reader.receive_state(reply, [].into_iter(), now_ms * MS),
             None if lost => fleet[querier].reader.query_failed(now_ms * MS),
-            None if is_reading => fleet[querier].reader.query_found_reader(now_ms * MS),
+            None if is_reading => fleet[querier].reader.query_found_reading_peer(now_ms * MS),
             None => fleet[querier].reader.query_declined(now_ms * MS),
         }
     }
@@ -404,7 +404,8 @@
     let broadcaster = fleet[querier].broadcaster.map(|broadcaster| usize::from(broadcaster.address.port()));
     let fallback = broadcaster.unwrap_or_else(|| rng.random_range(0..WATCHERS));
     let peers = fleet.iter().enumerate().filter(|(node, _)| *node != querier);
-    let peers = peers.map(|(node, sim)| QueryCandidate { node, position: sim.position, near: true });
+    let peers =
+        peers.map(|(node, sim)| QueryCandidate { node, position: sim.position, same_data_centre: true });
     match target {
         QueryTarget::Earlier { .. } => earlier_peer(fleet[querier].position, peers, rng).unwrap_or(fallback),
         QueryTarget::Broadcaster => fallback,
@@ -431,7 +432,7 @@
         let gossiped_revision =
             revisions.iter().rev().find(|(at, _)| at + GOSSIP_MS <= now_ms).map_or(0, |(_, newest)| *newest);
         for node in &mut fleet {
-            node.reader.set_reached_nodes(if network.partitioned { 1 } else { nodes });
+            node.reader.set_reachable_nodes(if network.partitioned { 1 } else { nodes });
             node.step(platform, now_ms);
             node.reader.compare_with_peers(
                 node.role,
@@ -443,13 +444,13 @@
         for (sender, relay) in relays(&mut fleet, now_ms) {
             for (receiver, node) in fleet.iter_mut().enumerate() {
                 if sender != receiver && !network.partitioned && !rng.random_bool(network.loss) {
-                    node.reader.hear_reader(relay.age_ms, sender < receiver);
+                    node.reader.observe_reader(relay.age_ms, sender < receiver);
                     let broadcaster = Broadcaster {
                         address: SocketAddr::from(([127, 0, 0, 1], sender as u16)),
                         revision: relay.mark.revision,
                         received_at_us: now_ms * MS,
                     };
-                    node.broadcaster = Some(broadcaster.or_better(node.broadcaster));
+                    node.broadcaster = Some(broadcaster.most_advanced(node.broadcaster));
                     node.reader.receive_relay(relay.clone(), node.position, now_ms * MS);
                 }
             }
--- a/crates/pointvane-dispatch/tests/foreign_messages.rs
+++ b/crates/pointvane-dispatch/tests/foreign_messages.rs
@@ -7,14 +7,14 @@
 mod common;
 
 use {
-    common::{configuration, gone, page, record, told},
+    common::{configuration, page, record, upstream_change, upstream_removal},
     googletest::prelude::*,
     pointvane_core::{Change, Evacuation, LimitNotice, LimitRank, RouteKind, UpstreamRecord},
     pointvane_dispatch::{
-        AllowedRegions, BodyFingerprint, ConfigurationUpdate, FAN_OUT, HeadFingerprint, LimitAnnouncement,
-        LimitMessage, OrderedNode, PlatformReader, Pool, Quarantine, QuarantineMessage, QuarantineOptions,
-        QueryScope, RankingOptions, ReadMark, ReaderOptions, ReceivedRounds, Relay, RelayDatagram,
-        RouteTable, Segment, StateReply, StateRequest, Wanted, WireRelay, forwarders,
+        AllowedRegions, BodyFingerprint, CandidateCriteria, ConfigurationUpdate, FAN_OUT, HeadFingerprint,
+        LimitAnnouncement, LimitMessage, OrderedNode, PlatformReader, Pool, Quarantine, QuarantineMessage,
+        QuarantineOptions, QueryScope, RankingOptions, ReadMark, ReaderOptions, ReceivedRounds, Relay,
+        RelayDatagram, RouteTable, Segment, StateReply, StateRequest, WireRelay, forwarders,
     },
     pointvane_mesh::codec,
     proptest::{
@@ -47,7 +47,7 @@
 impl Node {
     fn new() -> Self {
         let mut reader = PlatformReader::new(ReaderOptions::default(), 1);
-        reader.page_read(page(5, vec![told("a", 1)]), [].into_iter(), NOW_US);
+        reader.receive_page(page(5, vec![upstream_change("a", 1)]), [].into_iter(), NOW_US);
         let mut pool = Pool::new(RankingOptions::default(), "one".into(), 1);
         pool.upsert(record("a", 1), NOW_US);
         Self {
@@ -74,7 +74,7 @@
 
     fn receive_relay_datagram(&mut self, datagram: RelayDatagram) {
         if self.rounds.is_new(datagram.origin, datagram.round, NOW_US) {
-            let mut nodes = [1, u64::MAX, 7 << 40].map(|hash| OrderedNode { hash, node: hash });
+            let mut nodes = [1, u64::MAX, 7 << 40].map(|position| OrderedNode { position, node: position });
             let mut rng = SmallRng::seed_from_u64(1);
             forwarders(datagram.segment, 7 << 40, &mut nodes, FAN_OUT, &mut rng);
             let relay = Relay::from(datagram.relay);
@@ -85,15 +85,15 @@
     }
 
     fn receive_state_reply(&mut self, reply: StateReply) {
-        let known: Vec<Change> = self.pool.known().collect();
+        let known: Vec<Change> = self.pool.known_changes().collect();
         let changes = self.reader.receive_state(reply, known.into_iter(), NOW_US);
         self.apply(changes, NOW_US);
         self.run_node();
     }
 
     fn receive_quarantine_message(&mut self, message: QuarantineMessage) {
-        if let QuarantineMessage::News(news) = message {
-            self.quarantine.receive(&news, NOW_US);
+        if let QuarantineMessage::Reports(reports) = message {
+            self.quarantine.receive(&reports, NOW_US);
             self.quarantine.expire(NOW_US + S);
             self.quarantine.next_page(NOW_US + S);
         }
@@ -123,13 +123,18 @@
             self.reader.next(now_us);
             self.reader.next_query(now_us);
             self.reader.relay(now_us);
-            let wanted =
-                Wanted { priority: 0, tried: &[], body_bytes: 0, count: 4, regions: &AllowedRegions::ANY };
-            for key in self.pool.candidates(&"dispatch".into(), &wanted, now_us) {
+            let criteria = CandidateCriteria {
+                priority: 0,
+                tried: &[],
+                body_bytes: 0,
+                count: 4,
+                regions: &AllowedRegions::ANY,
+            };
+            for key in self.pool.candidates(&"dispatch".into(), &criteria, now_us) {
                 // Whether the upstream is eligible does not matter here.
                 _ = self.pool.begin_send(key, now_us);
             }
-            self.pool.forget_expired(now_us);
+            self.pool.remove_expired(now_us);
         }
     }
 }
@@ -153,7 +158,7 @@
 fn any_change() -> impl Strategy<Value = Change> {
     prop_oneof![
         4 => any_record().prop_map(Change::Upstream),
-        1 => select(vec!["a", "b", ""]).prop_map(gone),
+        1 => select(vec!["a", "b", ""]).prop_map(upstream_removal),
         1 => (any_u64(), any::<bool>()).prop_map(|(revision, active)| {
             Change::Evacuation(Evacuation { data_centre: "one".into(), active, revision })
         }),
@@ -188,16 +193,16 @@
     )
 }
 
-/// News encoded by a node, of crashes at arbitrary times.
-fn any_news() -> impl Strategy<Value = QuarantineMessage> {
+/// Reports encoded by a node, of crashes at arbitrary times.
+fn any_reports() -> impl Strategy<Value = QuarantineMessage> {
     vec((0..3_u64, 0..2_000 * S, 0..10 * S), 0..6).prop_map(|crashes| {
         let mut node = Quarantine::new(QuarantineOptions::default(), u64::MAX, u64::MAX - 10);
         for (number, began_us, took_us) in crashes {
             let head = HeadFingerprint::new("GET", "app.example", &format!("/{number}"), None);
-            let request = head.with_rest(QueryScope::Any, BodyFingerprint::new(b"", Some(0)));
-            node.crashed(request, began_us, began_us + took_us);
+            let request = head.with_query_and_body(QueryScope::Any, BodyFingerprint::new(b"", Some(0)));
+            node.record_crash(request, began_us, began_us + took_us);
         }
-        QuarantineMessage::News(node.next_page(NOW_US))
+        QuarantineMessage::Reports(node.next_page(NOW_US))
     })
 }
 
@@ -290,17 +295,18 @@
 
 #[gtest]
 fn no_quarantine_message_or_state_request_causes_a_panic() {
-    let result = runner().run(&(any_news(), any_damage(), any_u64()), |(news, (flips, cut), number)| {
-        let mut node = Node::new();
-        let bytes = damaged(codec::encode(&news).unwrap(), &flips, cut);
-        node.receive_quarantine_message(news);
-        if let Ok(news) = codec::decode::<QuarantineMessage>(&bytes) {
-            node.receive_quarantine_message(news);
-        }
-        let request = StateRequest { known: ReadMark { revision: number, version: number } };
-        let bytes = damaged(codec::encode(&request).unwrap(), &flips, cut);
-        _ = codec::decode::<StateRequest>(&bytes);
-        Ok(())
-    });
+    let result =
+        runner().run(&(any_reports(), any_damage(), any_u64()), |(reports, (flips, cut), number)| {
+            let mut node = Node::new();
+            let bytes = damaged(codec::encode(&reports).unwrap(), &flips, cut);
+            node.receive_quarantine_message(reports);
+            if let Ok(reports) = codec::decode::<QuarantineMessage>(&bytes) {
+                node.receive_quarantine_message(reports);
+            }
+            let request = StateRequest { known: ReadMark { revision: number, version: number } };
+            let bytes = damaged(codec::encode(&request).unwrap(), &flips, cut);
+            _ = codec::decode::<StateRequest>(&bytes);
+            Ok(())
+        });
     result.unwrap();
 }
--- a/crates/pointvane-dispatch/tests/hedging.rs
+++ b/crates/pointvane-dispatch/tests/hedging.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use {common::route, googletest::prelude::*, pointvane_core::RouteKind, pointvane_dispatch::RouteTimes};
+use {common::route, googletest::prelude::*, pointvane_core::RouteKind, pointvane_dispatch::RouteLatencies};
 
 #[gtest]
 fn the_hedge_delay_stays_within_its_shares_of_the_target() {
     let route = route(RouteKind::Safe);
-    let mut times = RouteTimes::new(&route);
+    let mut times = RouteLatencies::new(&route);
     expect_that!(
         times.hedge_after_ms(&route),
         some(near(100.0, 0.1)),
@@ -23,14 +23,14 @@
 fn non_repeatable_requests_are_never_hedged() {
     for kind in [RouteKind::Unsafe, RouteKind::Upload] {
         let route = route(kind);
-        expect_that!(RouteTimes::new(&route).hedge_after_ms(&route), none());
+        expect_that!(RouteLatencies::new(&route).hedge_after_ms(&route), none());
     }
 }
 
 #[gtest]
 fn the_baseline_is_the_median_of_uncontended_latencies() {
     let route = route(RouteKind::Safe);
-    let mut times = RouteTimes::new(&route);
+    let mut times = RouteLatencies::new(&route);
     expect_that!(times.baseline_ms(), near(50.0, 0.1), "a quarter of the target before the first attempt");
     for _ in 0..500 {
         times.record_attempt(20.0, 1.0);
--- a/crates/pointvane-dispatch/tests/limits.rs
+++ b/crates/pointvane-dispatch/tests/limits.rs
@@ -9,9 +9,9 @@
         ErrorKind, LimitChange, LimitNotice, LimitRank, RouteKind, UpstreamLoad, UpstreamRecord,
     },
     pointvane_dispatch::{
-        AllowedRegions, Found, Ineligible, LIMITS_MAX, LimitAnnouncement, LimitMessage, Pool, RankingOptions,
-        RefusedBy, Search, SearchGoal, SearchOptions, SearchRequest, SearchStep, Segment, UpstreamKey,
-        Wanted, retry_after_ms,
+        AllowedRegions, CandidateCriteria, Found, Ineligible, LIMITS_MAX, LimitAnnouncement, LimitMessage,
+        Pool, RankingOptions, RefusedBy, Search, SearchGoal, SearchOptions, SearchRequest, SearchStep,
+        Segment, UpstreamKey, retry_after_ms,
     },
     pointvane_mesh::codec,
 };
@@ -32,12 +32,12 @@
     pool
 }
 
-fn wanted(priority: u32) -> Wanted<'static> {
-    Wanted { tried: &[], body_bytes: 0, count: 20, regions: &ANY_REGION, priority }
+fn criteria(priority: u32) -> CandidateCriteria<'static> {
+    CandidateCriteria { tried: &[], body_bytes: 0, count: 20, regions: &ANY_REGION, priority }
 }
 
 fn key(pool: &mut Pool, id: &str) -> UpstreamKey {
-    let all = pool.candidates(&SERVICE.into(), &wanted(0), MS);
+    let all = pool.candidates(&SERVICE.into(), &criteria(0), MS);
     all.into_iter().find(|key| pool.get(*key).unwrap().id().as_str() == id).unwrap()
 }
 
@@ -68,7 +68,7 @@
     advertise_limit(&mut pool, a, None);
     expect_that!(pool.begin_send(a, 90 * S), err(eq(Ineligible::Limited)));
     for now_us in (S..20 * S).step_by(100_000) {
-        let found = pool.candidates(&SERVICE.into(), &wanted(0), now_us);
+        let found = pool.candidates(&SERVICE.into(), &criteria(0), now_us);
         expect_that!(found.contains(&a), eq(false));
     }
 }
@@ -105,7 +105,7 @@
     advertise_limit(&mut pool, b, None);
     expect_that!(pool.begin_send(a, 3 * S), ok(anything()));
     let step = search(&mut pool, 0, 3 * S + 200 * MS);
-    expect_that!(step, eq(&SearchStep::Done(Found::Nothing(Ineligible::Limited))));
+    expect_that!(step, eq(&SearchStep::Done(Found::NoUpstream(Ineligible::Limited))));
     expect_that!(Ineligible::Limited.error(), eq(ErrorKind::UpstreamsLimited));
     let withheld = pool.withheld(&SERVICE.into(), 0, 3 * S + 200 * MS).unwrap();
     expect_that!((withheld.upstreams, withheld.limited), eq((2, 2)));
@@ -122,7 +122,7 @@
     let a = key(&mut pool, "a");
     advertise_limit(&mut pool, a, Some(SOLE_NODE));
     expect_that!(pool.begin_send(a, 3 * S), ok(anything()));
-    let nothing = SearchStep::Done(Found::Nothing(Ineligible::Limited));
+    let nothing = SearchStep::Done(Found::NoUpstream(Ineligible::Limited));
     expect_that!(search(&mut pool, 1, 4 * S), eq(&nothing));
     expect_that!(pool.withheld(&SERVICE.into(), 1, 4 * S).unwrap().back_in_ms, some(eq(250)));
     expect_that!(search(&mut pool, 0, 4 * S), eq(&SearchStep::Done(Found::Uncontended(a))));
--- a/crates/pointvane-dispatch/tests/notices.rs
+++ b/crates/pointvane-dispatch/tests/notices.rs
@@ -8,9 +8,9 @@
     googletest::prelude::*,
     pointvane_core::{ErrorKind, RouteKind, RouteRule, UpstreamLoad, UpstreamRecord},
     pointvane_dispatch::{
-        AllowedRegions, AttemptOutcome, Found, Ineligible, Pool, RankingOptions, Refusal, RefusedBy, Search,
-        SearchGoal, SearchOptions, SearchRequest, SearchStep, UpstreamKey, Wanted, WithheldService,
-        retry_after_ms,
+        AllowedRegions, AttemptOutcome, CandidateCriteria, Found, Ineligible, NotRunReason, Pool,
+        RankingOptions, RefusedBy, Search, SearchGoal, SearchOptions, SearchRequest, SearchStep, UpstreamKey,
+        WithheldService, retry_after_ms,
     },
     rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom},
 };
@@ -36,7 +36,13 @@
 fn candidates(pool: &mut Pool, now_us: u64) -> Vec<UpstreamKey> {
     pool.candidates(
         &SERVICE.into(),
-        &Wanted { priority: 0, tried: &[], body_bytes: 0, count: 20, regions: &AllowedRegions::ANY },
+        &CandidateCriteria {
+            priority: 0,
+            tried: &[],
+            body_bytes: 0,
+            count: 20,
+            regions: &AllowedRegions::ANY,
+        },
         now_us,
     )
 }
@@ -105,9 +111,9 @@
     expect_that!(search.next(&mut pool, S), matches_pattern!(SearchStep::Probe { .. }));
     pool.record_load(a, UpstreamLoad { running: 0, waiting: 0, slots: 3, slowdown_percent: 100 }, S);
     pool.record_back_off(a, BACK_OFF_US, S + MS);
-    expect_that!(search.answered(a, &pool, S + 2 * MS), eq(false));
+    expect_that!(search.record_probe_response(a, &pool, S + 2 * MS), eq(false));
     let end = search.next(&mut pool, S + 3 * MS);
-    expect_that!(end, eq(&SearchStep::Done(Found::Nothing(Ineligible::BackingOff))));
+    expect_that!(end, eq(&SearchStep::Done(Found::NoUpstream(Ineligible::BackingOff))));
 }
 
 #[gtest]
@@ -209,8 +215,8 @@
     let mut pool = pool(&["a", "b"]);
     let a = key(&mut pool, "a");
     pool.record_leaving(a);
-    expect_that!(pool.entry_removed(&"a".into(), 10 * S, S), eq(true));
-    expect_that!(pool.entry_removed(&"b".into(), 10 * S, S), eq(false));
+    expect_that!(pool.handle_entry_removal(&"a".into(), 10 * S, S), eq(true));
+    expect_that!(pool.handle_entry_removal(&"b".into(), 10 * S, S), eq(false));
 }
 
 /// An entry that says "draining" takes effect without a notice in a response, and the reverse.
@@ -222,7 +228,7 @@
     pool.record_leaving(b);
     expect_that!(pool.eligibility(a, S), err(eq(Ineligible::Draining)));
     expect_that!(pool.eligibility(b, S), err(eq(Ineligible::Leaving)));
-    expect_that!(search_result(&mut pool, S), eq(Found::Nothing(Ineligible::Draining)));
+    expect_that!(search_result(&mut pool, S), eq(Found::NoUpstream(Ineligible::Draining)));
 }
 
 /// Six upstreams with random combinations of binding reasons: the request is refused at once with the time
@@ -252,7 +258,7 @@
         let now_us = S + MS / 2;
         expect_that!(
             search_result(&mut pool, now_us),
-            eq(Found::Nothing(Ineligible::BackingOff)),
+            eq(Found::NoUpstream(Ineligible::BackingOff)),
             "seed {seed}"
         );
         let withheld = pool.withheld(&SERVICE.into(), 0, now_us).unwrap();
@@ -273,7 +279,7 @@
     let mut pool = pool(&["a", "b"]);
     let (a, b) = (key(&mut pool, "a"), key(&mut pool, "b"));
     pool.record_back_off(a, BACK_OFF_US, S);
-    (0..3).for_each(|_| pool.get_mut(b).unwrap().was_unresponsive(S));
+    (0..3).for_each(|_| pool.get_mut(b).unwrap().record_unresponsive(S));
     expect_that!(pool.eligibility(b, S), err(eq(Ineligible::Ejected)));
     expect_that!(search_result(&mut pool, S), eq(Found::Contended(b)));
     expect_that!(pool.withheld(&SERVICE.into(), 0, S), none());
@@ -286,7 +292,7 @@
         let key = key(&mut pool, id);
         pool.record_leaving(key);
     }
-    expect_that!(search_result(&mut pool, S), matches_pattern!(Found::Nothing(_)));
+    expect_that!(search_result(&mut pool, S), matches_pattern!(Found::NoUpstream(_)));
     let withheld = pool.withheld(&SERVICE.into(), 0, S);
     expect_that!(
         withheld,
@@ -299,15 +305,15 @@
 #[gtest]
 fn withheld_attempt_does_not_end_a_trial() {
     for reason in [Ineligible::BackingOff, Ineligible::Draining, Ineligible::Gone] {
-        expect_that!(AttemptOutcome::Withheld(reason).was_begun(), eq(false));
+        expect_that!(AttemptOutcome::Withheld(reason).send_started(), eq(false));
     }
     for outcome in [AttemptOutcome::Unreachable, AttemptOutcome::Quarantined, AttemptOutcome::TimedOut] {
-        expect_that!(outcome.was_begun(), eq(false), "{outcome:?}");
+        expect_that!(outcome.send_started(), eq(false), "{outcome:?}");
     }
-    let busy = AttemptOutcome::NotRun(Refusal::Busy);
+    let busy = AttemptOutcome::NotRun(NotRunReason::Busy);
     let answered = AttemptOutcome::Answered { failed: true };
     for outcome in [answered, busy, AttemptOutcome::Unsent, AttemptOutcome::Broken, AttemptOutcome::Crashed] {
-        expect_that!(outcome.was_begun(), eq(true), "{outcome:?}");
+        expect_that!(outcome.send_started(), eq(true), "{outcome:?}");
     }
 }
 
--- a/crates/pointvane-dispatch/tests/notices_fleet.rs
+++ b/crates/pointvane-dispatch/tests/notices_fleet.rs
@@ -7,7 +7,7 @@
     common::record,
     googletest::prelude::*,
     pointvane_core::{UpstreamLoad, UpstreamRecord},
-    pointvane_dispatch::{AllowedRegions, Pool, RankingOptions, UpstreamKey, Wanted, WarmUpBound},
+    pointvane_dispatch::{AllowedRegions, CandidateCriteria, Pool, RankingOptions, UpstreamKey, WarmUpBound},
     rand::{Rng, SeedableRng, rngs::SmallRng, seq::IteratorRandom},
 };
 
@@ -83,19 +83,19 @@
     fn new(scenario: Scenario, strategy: ReturnStrategy, seed: u64) -> Self {
         let node = |number: usize| {
             let mut pool = Pool::new(RankingOptions::default(), "one".into(), seed * 10_000 + number as u64);
-            pool.share_warm_up(WarmUpBound { overshoot: 1.0, slack: 0.0 }, scenario.nodes, 0);
+            pool.set_warm_up_bound(WarmUpBound { overshoot: 1.0, slack: 0.0 }, scenario.nodes, 0);
             for index in 0..scenario.upstreams {
                 let id = format!("u{index:05}");
                 pool.upsert(UpstreamRecord { slots: scenario.slots, ..record(&id, 1) }, 0);
             }
-            let wanted = Wanted {
+            let criteria = CandidateCriteria {
                 priority: 0,
                 tried: &[],
                 body_bytes: 0,
                 count: scenario.upstreams,
                 regions: &AllowedRegions::ANY,
             };
-            let mut keys = pool.candidates(&SERVICE.into(), &wanted, 0);
+            let mut keys = pool.candidates(&SERVICE.into(), &criteria, 0);
             keys.sort();
             // A node uses only the upstreams of its subset; they are matched to indices by their identities.
             keys.iter().for_each(|key| {
@@ -133,9 +133,14 @@
         if self.strategy == ReturnStrategy::AtOnce && now_ms < BACK_OFF_MS {
             return None;
         }
-        let wanted =
-            Wanted { priority: 0, tried: &[], body_bytes: 0, count: 1, regions: &AllowedRegions::ANY };
-        let key = *pool.candidates(&SERVICE.into(), &wanted, now_ms * MS).first()?;
+        let criteria = CandidateCriteria {
+            priority: 0,
+            tried: &[],
+            body_bytes: 0,
+            count: 1,
+            regions: &AllowedRegions::ANY,
+        };
+        let key = *pool.candidates(&SERVICE.into(), &criteria, now_ms * MS).first()?;
         pool.begin_send(key, now_ms * MS).ok()?;
         let index = upstream(pool, key)?;
         let runs = self.running[index].len() < self.scenario.slots as usize;
--- a/crates/pointvane-dispatch/tests/pipeline.rs
+++ b/crates/pointvane-dispatch/tests/pipeline.rs
@@ -3,13 +3,13 @@
 use {
     googletest::prelude::*,
     pointvane_core::RouteKind::{self, Safe, Unsafe, Upload},
-    pointvane_dispatch::{PipelineLimits, starts_early},
+    pointvane_dispatch::{PipelineLimits, may_forward_early},
 };
 
 const LIMITS: PipelineLimits = PipelineLimits { requests_max: 3, bytes_max: 1_000 };
 
 fn is_forwarded_early(kind: RouteKind, ahead: &[RouteKind]) -> bool {
-    starts_early(kind, ahead.iter().copied(), &LIMITS)
+    may_forward_early(kind, ahead.iter().copied(), &LIMITS)
 }
 
 #[gtest]
--- a/crates/pointvane-dispatch/tests/quarantine_news.rs
+++ b/crates/pointvane-dispatch/tests/quarantine_messages.rs
@@ -3,8 +3,8 @@
 use {
     googletest::prelude::*,
     pointvane_dispatch::{
-        BodyFingerprint, HeadFingerprint, NEWS_MAX, Quarantine, QuarantineMessage, QuarantineOptions,
-        QueryScope, RequestFingerprint,
+        BodyFingerprint, HeadFingerprint, Quarantine, QuarantineMessage, QuarantineOptions, QueryScope,
+        RequestFingerprint, SUSPECTS_PER_DATAGRAM_MAX,
     },
     pointvane_mesh::codec,
 };
@@ -14,7 +14,7 @@
 fn request(number: u64) -> RequestFingerprint {
     let path = format!("/{number}");
     HeadFingerprint::new("GET", "app.example", &path, None)
-        .with_rest(QueryScope::Any, BodyFingerprint::new(b"", Some(0)))
+        .with_query_and_body(QueryScope::Any, BodyFingerprint::new(b"", Some(0)))
 }
 
 /// A node with a full table and the maximum evidence per request, with numbers that have the longest encoding.
@@ -23,9 +23,9 @@
     for number in 0..600 {
         for crash in 0..12 {
             let began_at_us = number * 1_000 + crash * 2 * S;
-            node.crashed(request(number), began_at_us, began_at_us + S);
+            node.record_crash(request(number), began_at_us, began_at_us + S);
         }
-        node.survived(request(number), 0);
+        node.record_success(request(number), 0);
     }
     node
 }
@@ -35,12 +35,12 @@
     let mut node = full_quarantine();
     let now_us = 4_000_000 * S;
     let mut messages: Vec<_> = (0..300).map(|_| node.next_page(now_us)).collect();
-    messages.extend((0..200).map(|_| node.take_round(now_us)));
-    messages.extend((0..200).map(|_| node.take_urgent(now_us)));
+    messages.extend((0..200).map(|_| node.take_gossip_round(now_us)));
+    messages.extend((0..200).map(|_| node.take_broadcast(now_us)));
     messages.extend(node.pages_for_pull(now_us));
-    for news in messages {
-        expect_that!(news.len(), le(NEWS_MAX));
-        expect_that!(codec::encode(&QuarantineMessage::News(news)), ok(anything()));
+    for reports in messages {
+        expect_that!(reports.len(), le(SUSPECTS_PER_DATAGRAM_MAX));
+        expect_that!(codec::encode(&QuarantineMessage::Reports(reports)), ok(anything()));
     }
 }
 
@@ -49,7 +49,7 @@
 fn pages_alone_transfer_all_evidence() {
     let mut sender = full_quarantine();
     let mut receiver = Quarantine::new(QuarantineOptions::default(), 1, 0);
-    let pages = 2 * sender.len().div_ceil(NEWS_MAX);
+    let pages = 2 * sender.len().div_ceil(SUSPECTS_PER_DATAGRAM_MAX);
     for _ in 0..pages {
         let page = sender.next_page(30 * S);
         receiver.receive(&page, 30 * S);
--- a/crates/pointvane-dispatch/tests/quota.rs
+++ b/crates/pointvane-dispatch/tests/quota.rs
@@ -3,7 +3,7 @@
 use {
     googletest::prelude::*,
     pointvane_core::{Name, Quota},
-    pointvane_dispatch::{AccountShare, AccountUsage, FleetContact, QuotaDecision, Quotas, ToldUse},
+    pointvane_dispatch::{AccountShare, AccountUsage, FleetUsage, FleetView, QuotaDecision, Quotas},
     std::net::SocketAddr,
 };
 
@@ -18,8 +18,8 @@
 const NOW_US: u64 = 100 * S;
 /// Allows 15 requests per window.
 const QUOTA: Quota = Quota { requests_per_1000_s: 2_000, burst: 5 };
-const CONNECTED: FleetContact = FleetContact { connected: true, nodes: Some(10), reachable_share: 1.0 };
-const ISOLATED: FleetContact = FleetContact { connected: false, nodes: Some(10), reachable_share: 0.1 };
+const CONNECTED: FleetView = FleetView { connected: true, nodes: Some(10), reachable_share: 1.0 };
+const ISOLATED: FleetView = FleetView { connected: false, nodes: Some(10), reachable_share: 0.1 };
 
 fn account() -> Name {
     "a".into()
@@ -29,8 +29,8 @@
     SocketAddr::from(([10, 0, 0, last], 7_660))
 }
 
-fn admit(quotas: &mut Quotas, contact: FleetContact, now_us: u64, draw: f32) -> bool {
-    quotas.admit(&account(), QUOTA, contact, now_us, draw) == QuotaDecision::Admitted
+fn admit(quotas: &mut Quotas, fleet_view: FleetView, now_us: u64, draw: f32) -> bool {
+    quotas.admit(&account(), QUOTA, fleet_view, now_us, draw) == QuotaDecision::Admitted
 }
 
 fn share(share_per_mille: u16) -> Vec<AccountShare> {
@@ -41,15 +41,15 @@
 /// number of requests it admitted and the requests per second offered to it.
 fn share_answered_to(usages: &[(u8, u32, u32)], reachable_share: f64, now_us: u64) -> AccountShare {
     let mut quotas = Quotas::new(WINDOW_US, STARTED_US);
-    let contact = FleetContact { reachable_share, ..CONNECTED };
+    let fleet_view = FleetView { reachable_share, ..CONNECTED };
     let answers = usages.iter().map(|(node, admitted, offered_per_s)| {
         let usage = AccountUsage {
             account: account(),
             admitted: [*admitted, 0, 0, 0, 0],
             offered_per_1000_s: offered_per_s * 1_000,
-            told: None,
+            fleet_usage: None,
         };
-        quotas.coordinate((address(*node), 1), &usage, QUOTA, contact, now_us).unwrap()
+        quotas.coordinate((address(*node), 1), &usage, QUOTA, fleet_view, now_us).unwrap()
     });
     answers.last().unwrap()
 }
@@ -82,7 +82,7 @@
     expect_that!(admitted(&mut quotas, S), eq(2), "15 requests divided by 10 nodes, rounded up");
     expect_that!(admitted(&mut quotas, S + 4 * S), eq(0));
     expect_that!(admitted(&mut quotas, S + 6 * S), eq(2));
-    let unknown = FleetContact { connected: false, nodes: None, reachable_share: 1.0 };
+    let unknown = FleetView { connected: false, nodes: None, reachable_share: 1.0 };
     let mut quotas = Quotas::new(WINDOW_US, STARTED_US);
     let admitted = (0..10).filter(|_| admit(&mut quotas, unknown, S, 0.0)).count();
     expect_that!(admitted, eq(1), "the number of nodes is unknown");
@@ -116,7 +116,7 @@
 /// nodes admitted far more than their part of the quota.
 #[gtest]
 fn isolated_nodes_together_admit_the_sum_of_their_parts() {
-    let isolated = FleetContact { connected: false, nodes: Some(60), reachable_share: 0.5 };
+    let isolated = FleetView { connected: false, nodes: Some(60), reachable_share: 0.5 };
     let draws = (0..60).map(|node| node as f32 / 60.0);
     let admitted: usize = draws
         .map(|draw| {
@@ -131,7 +131,7 @@
 /// received a message of any other.
 #[gtest]
 fn a_node_that_has_just_started_admits_nothing_until_the_discovery_timeout() {
-    let unknown = FleetContact { connected: false, nodes: None, reachable_share: 1.0 };
+    let unknown = FleetView { connected: false, nodes: None, reachable_share: 1.0 };
     let mut quotas = Quotas::new(WINDOW_US, NOW_US);
     expect_that!(admit(&mut quotas, unknown, NOW_US + 300 * MS, 0.0), eq(false));
     expect_that!(
@@ -146,9 +146,9 @@
     let mut quotas = Quotas::new(WINDOW_US, STARTED_US);
     for _ in 0..10 {
         expect_that!(admit(&mut quotas, ISOLATED, S, 0.0), eq(true));
-        quotas.give_back(&account(), S);
+        quotas.refund(&account(), S);
     }
-    quotas.give_back(&account(), S);
+    quotas.refund(&account(), S);
     let report = &quotas.take_reports(S)[0];
     expect_that!(report.admitted, eq([0; 5]));
     expect_that!(report.offered_per_1000_s, gt(0));
@@ -189,8 +189,12 @@
 #[gtest]
 fn a_duplicate_report_counts_once_and_an_earlier_incarnation_until_it_leaves_the_window() {
     let mut quotas = Quotas::new(WINDOW_US, STARTED_US);
-    let usage =
-        AccountUsage { account: account(), admitted: [6, 0, 0, 0, 0], offered_per_1000_s: 1_000, told: None };
+    let usage = AccountUsage {
+        account: account(),
+        admitted: [6, 0, 0, 0, 0],
+        offered_per_1000_s: 1_000,
+        fleet_usage: None,
+    };
     let mut used = |incarnation, now_us| {
         quotas.coordinate((address(1), incarnation), &usage, QUOTA, CONNECTED, now_us).unwrap().used_per_mille
     };
@@ -204,7 +208,7 @@
 fn reported_requests_leave_the_window_by_their_age() {
     let used = |admitted, later_us| {
         let mut quotas = Quotas::new(WINDOW_US, STARTED_US);
-        let usage = AccountUsage { account: account(), admitted, offered_per_1000_s: 0, told: None };
+        let usage = AccountUsage { account: account(), admitted, offered_per_1000_s: 0, fleet_usage: None };
         quotas.coordinate((address(1), 1), &usage, QUOTA, CONNECTED, 10 * S);
         let other = AccountUsage { admitted: [0; 5], ..usage };
         quotas
@@ -221,19 +225,23 @@
 
 #[gtest]
 fn a_coordinator_that_has_just_started_assumes_that_the_quota_is_used() {
-    let share = |admitted_counts, told, started_us| {
+    let share = |admitted_counts, fleet_usage, started_us| {
         let mut quotas = Quotas::new(WINDOW_US, started_us);
-        let usage =
-            AccountUsage { account: account(), admitted: admitted_counts, offered_per_1000_s: 20_000, told };
+        let usage = AccountUsage {
+            account: account(),
+            admitted: admitted_counts,
+            offered_per_1000_s: 20_000,
+            fleet_usage,
+        };
         quotas.coordinate((address(1), 1), &usage, QUOTA, CONNECTED, 10 * S).unwrap().share_per_mille
     };
     let few = [1, 0, 0, 0, 0];
     expect_that!(share(few, None, STARTED_US), eq(1_000));
     // The quota of 15 requests in 5 s allows 3 of the 20 requests per second.
     expect_that!(share(few, None, 10 * S), all!(ge(100), le(160)));
-    let told = Some(ToldUse { used_per_mille: 1_100, ago_ms: 100 });
-    expect_that!(share(few, told, STARTED_US), le(100), "earlier coordinators reported more usage");
-    let long_ago = Some(ToldUse { used_per_mille: 1_100, ago_ms: 6_000 });
+    let fleet_usage = Some(FleetUsage { used_per_mille: 1_100, age_ms: 100 });
+    expect_that!(share(few, fleet_usage, STARTED_US), le(100), "earlier coordinators reported more usage");
+    let long_ago = Some(FleetUsage { used_per_mille: 1_100, age_ms: 6_000 });
     expect_that!(share(few, long_ago, STARTED_US), eq(1_000));
 }
 
@@ -243,7 +251,8 @@
 fn possible_usage_before_a_coordinator_started_counts_until_a_window_has_passed() {
     let used = |life_us| {
         let mut quotas = Quotas::new(WINDOW_US, NOW_US);
-        let usage = AccountUsage { account: account(), admitted: [0; 5], offered_per_1000_s: 0, told: None };
+        let usage =
+            AccountUsage { account: account(), admitted: [0; 5], offered_per_1000_s: 0, fleet_usage: None };
         quotas.coordinate((address(1), 1), &usage, QUOTA, CONNECTED, NOW_US + life_us).unwrap().used_per_mille
     };
     expect_that!(used(0), eq(1_000));
@@ -258,7 +267,7 @@
         account: account(),
         admitted: [admitted, 0, 0, 0, 0],
         offered_per_1000_s: 20_000,
-        told: None,
+        fleet_usage: None,
     };
     let report = |quotas: &mut Quotas, admitted, now_us| {
         quotas.coordinate((address(1), 1), &usage(admitted), QUOTA, CONNECTED, now_us);
--- a/crates/pointvane-dispatch/tests/quota_peers.rs
+++ b/crates/pointvane-dispatch/tests/quota_peers.rs
@@ -4,7 +4,7 @@
 use {
     googletest::prelude::*,
     pointvane_core::{Name, Quota},
-    pointvane_dispatch::{AccountUsage, FleetContact, Quotas},
+    pointvane_dispatch::{AccountUsage, FleetView, Quotas},
     std::net::SocketAddr,
 };
 
@@ -16,7 +16,7 @@
 const NOW_US: u64 = 100 * S;
 /// Allows 15 requests per window.
 const QUOTA: Quota = Quota { requests_per_1000_s: 2_000, burst: 5 };
-const CONTACT: FleetContact = FleetContact { connected: true, nodes: Some(10), reachable_share: 1.0 };
+const FLEET_VIEW: FleetView = FleetView { connected: true, nodes: Some(10), reachable_share: 1.0 };
 
 fn account(number: u8) -> Name {
     format!("account-{number}").as_str().into()
@@ -39,9 +39,9 @@
         account: account(number),
         admitted: [9, 0, 0, 0, 0],
         offered_per_1000_s: 10_000,
-        told: None,
+        fleet_usage: None,
     };
-    quotas.coordinate((address(1), 1), &usage, QUOTA, CONTACT, now_us).unwrap().share_per_mille
+    quotas.coordinate((address(1), 1), &usage, QUOTA, FLEET_VIEW, now_us).unwrap().share_per_mille
 }
 
 /// Guards against overshoot after a partition that leaves one coordinator in each part: each granted the
@@ -56,7 +56,7 @@
         eq(0),
         "9 requests admitted, 8.25 granted"
     );
-    expect_that!(quotas.heard(address(2), NOW_US + 400 * MS), eq(true));
+    expect_that!(quotas.record_message(address(2), NOW_US + 400 * MS), eq(true));
     expect_that!(share_answered_to_report(&mut quotas, 0, NOW_US + 400 * MS), eq(1_000));
 }
 
@@ -68,8 +68,8 @@
     quotas.set_peer(&account(0), None, NOW_US + 2 * S);
     expect_that!(quotas.accounts_without_peer(), is_empty());
     expect_that!(share_answered_to_report(&mut quotas, 0, NOW_US + 4 * S), eq(1_000));
-    expect_that!(quotas.take_heartbeats(NOW_US + 4 * S), is_empty());
-    quotas.forget_peers();
+    expect_that!(quotas.take_due_heartbeats(NOW_US + 4 * S), is_empty());
+    quotas.reset_peers();
     expect_that!(quotas.accounts_without_peer().len(), eq(1));
 }
 
@@ -77,9 +77,9 @@
 fn heartbeats_are_sent_once_per_peer_and_at_most_100_times_per_second() {
     let mut quotas = coordinator(40);
     (0..40).for_each(|number| quotas.set_peer(&account(number), Some(address(number / 2)), NOW_US));
-    let sent: usize = (0..1_000).map(|step| quotas.take_heartbeats(NOW_US + step * 10 * MS).len()).sum();
+    let sent: usize = (0..1_000).map(|step| quotas.take_due_heartbeats(NOW_US + step * 10 * MS).len()).sum();
     expect_that!(sent, all!(ge(1_000), le(1_020)), "20 peers in 10 s, the first heartbeats at once");
-    expect_that!(quotas.heard(address(200), NOW_US), eq(false), "not a peer of any account");
+    expect_that!(quotas.record_message(address(200), NOW_US), eq(false), "not a peer of any account");
 }
 
 /// Without a tolerance, polls slightly before the due time skipped every other heartbeat, and the loss of one
@@ -89,7 +89,7 @@
     let mut quotas = coordinator(1);
     quotas.set_peer(&account(0), Some(address(2)), NOW_US);
     let at_us = |step: u64| NOW_US + step * 100 * MS - step % 2 * 5 * MS;
-    let sent: usize = (0..50).map(|step| quotas.take_heartbeats(at_us(step)).len()).sum();
+    let sent: usize = (0..50).map(|step| quotas.take_due_heartbeats(at_us(step)).len()).sum();
     expect_that!(sent, eq(50));
 }
 
@@ -97,9 +97,9 @@
 fn heartbeats_stop_when_no_account_is_left() {
     let mut quotas = coordinator(1);
     quotas.set_peer(&account(0), Some(address(2)), NOW_US);
-    expect_that!(quotas.take_heartbeats(NOW_US), elements_are![eq(&address(2))]);
-    expect_that!(quotas.take_heartbeats(NOW_US + 50 * MS), is_empty());
-    _ = quotas.take_broadcast(CONTACT, NOW_US + 6 * S);
-    expect_that!(quotas.take_heartbeats(NOW_US + 6 * S), is_empty());
+    expect_that!(quotas.take_due_heartbeats(NOW_US), elements_are![eq(&address(2))]);
+    expect_that!(quotas.take_due_heartbeats(NOW_US + 50 * MS), is_empty());
+    _ = quotas.take_broadcast(FLEET_VIEW, NOW_US + 6 * S);
+    expect_that!(quotas.take_due_heartbeats(NOW_US + 6 * S), is_empty());
     expect_that!(quotas.is_idle(), eq(true));
 }
--- a/crates/pointvane-dispatch/tests/quota_simulation/mod.rs
+++ b/crates/pointvane-dispatch/tests/quota_simulation/mod.rs
@@ -4,7 +4,7 @@
 
 use {
     pointvane_core::Quota,
-    pointvane_dispatch::{AccountShare, AccountUsage, FleetContact, QuotaDecision, Quotas},
+    pointvane_dispatch::{AccountShare, AccountUsage, FleetView, QuotaDecision, Quotas},
     rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom},
     std::{
         collections::BTreeMap,
@@ -281,11 +281,11 @@
         self.partition_id(index, at_us.saturating_sub(MEMBERSHIP_DELAY_US))
     }
 
-    fn contact(&self, index: usize, now_us: u64) -> FleetContact {
+    fn fleet_view(&self, index: usize, now_us: u64) -> FleetView {
         let at_us = now_us - LOAD_START_US;
         let node = &self.nodes[index];
         if node.incarnation > 1 && now_us < node.started_us + DISCOVERY_DELAY_US {
-            return FleetContact { connected: false, nodes: None, reachable_share: 1.0 };
+            return FleetView { connected: false, nodes: None, reachable_share: 1.0 };
         }
         let partition_id = self.detected_partition_id(index, at_us);
         let reachable = match partition_id {
@@ -295,7 +295,7 @@
         let cut_off = self.partition_id(index, at_us) >= 1_000;
         let isolated =
             cut_off && self.partition_id(index, at_us.saturating_sub(ISOLATION_TIMEOUT_US)) >= 1_000;
-        FleetContact {
+        FleetView {
             connected: !isolated,
             nodes: Some(self.nodes.len()),
             reachable_share: reachable as f64 / self.nodes.len() as f64,
@@ -329,7 +329,7 @@
             self.nodes[to].last_message_us = now_us;
             match message {
                 Message::Heartbeat { from, wants_reply } => {
-                    let is_tracked = self.nodes[to].quotas.heard(address(from), now_us);
+                    let is_tracked = self.nodes[to].quotas.record_message(address(from), now_us);
                     if wants_reply && !is_tracked {
                         self.send(to, from, Message::Heartbeat { from: to, wants_reply: false }, now_us);
                     }
@@ -353,12 +353,12 @@
         usages: &[AccountUsage],
         now_us: u64,
     ) -> Vec<AccountShare> {
-        let (contact, quota) = (self.contact(at, now_us), self.scenario.quota);
+        let (fleet_view, quota) = (self.fleet_view(at, now_us), self.scenario.quota);
         let quotas = &mut self.nodes[at].quotas;
         usages
             .iter()
             .filter_map(|usage| {
-                quotas.coordinate((address(from), incarnation), usage, quota, contact, now_us)
+                quotas.coordinate((address(from), incarnation), usage, quota, fleet_view, now_us)
             })
             .collect()
     }
@@ -370,8 +370,8 @@
         let coordinators = self.coordinators(index, now_us);
         if self.nodes[index].coordinators != coordinators {
             self.nodes[index].coordinators = coordinators;
-            self.nodes[index].quotas.report_again(&ACCOUNT_NAME.into());
-            self.nodes[index].quotas.forget_peers();
+            self.nodes[index].quotas.force_report(&ACCOUNT_NAME.into());
+            self.nodes[index].quotas.reset_peers();
         }
         self.update_peers(index, now_us);
         let usages = self.nodes[index].quotas.take_reports(now_us);
@@ -391,8 +391,8 @@
                 }
             }
         }
-        let contact = self.contact(index, now_us);
-        let shares = self.nodes[index].quotas.take_broadcast(contact, now_us);
+        let fleet_view = self.fleet_view(index, now_us);
+        let shares = self.nodes[index].quotas.take_broadcast(fleet_view, now_us);
         if !shares.is_empty() {
             self.nodes[index].quotas.receive_shares(address(index), &shares, now_us);
             for other in (0..self.nodes.len()).filter(|other| *other != index) {
@@ -407,7 +407,7 @@
             let peer = self.coordinators(index, now_us).into_iter().find(|other| *other != index);
             self.nodes[index].quotas.set_peer(&account, peer.map(address), now_us);
         }
-        for peer in self.nodes[index].quotas.take_heartbeats(now_us) {
+        for peer in self.nodes[index].quotas.take_due_heartbeats(now_us) {
             self.send(index, node_index(peer), Message::Heartbeat { from: index, wants_reply: true }, now_us);
         }
     }
@@ -415,14 +415,21 @@
     fn request(&mut self, at_us: u64, now_us: u64) {
         let is_single_node = self.scenario.single_node_load.contains(&at_us);
         let index = if is_single_node { 0 } else { self.rng.random_range(0..self.nodes.len()) };
-        let mut contact = self.contact(index, now_us);
+        let mut fleet_view = self.fleet_view(index, now_us);
         if self.scenario.strategy == Strategy::EqualParts {
-            contact.connected = false;
+            fleet_view.connected = false;
         }
         let draw = self.rng.random();
-        let decision =
-            self.nodes[index].quotas.admit(&ACCOUNT_NAME.into(), self.scenario.quota, contact, now_us, draw);
-        if self.scenario.strategy == Strategy::Coordinated && self.nodes[index].quotas.has_unknown() {
+        let decision = self.nodes[index].quotas.admit(
+            &ACCOUNT_NAME.into(),
+            self.scenario.quota,
+            fleet_view,
+            now_us,
+            draw,
+        );
+        if self.scenario.strategy == Strategy::Coordinated
+            && self.nodes[index].quotas.has_unreported_account()
+        {
             self.tick(index, now_us);
         }
         self.result.requests.push((at_us, decision == QuotaDecision::Admitted));
--- a/crates/pointvane-dispatch/tests/reader.rs
+++ b/crates/pointvane-dispatch/tests/reader.rs
@@ -4,7 +4,7 @@
 mod fleet;
 
 use {
-    common::{configured, page, told},
+    common::{configuration_change, page, upstream_change},
     fleet::{HEALTHY, MS, OutageScope, PARTITIONED, STEP_MS, SimNetwork, SimPlatform, simulate},
     googletest::prelude::*,
     pointvane_core::{Change, ChangePage},
@@ -221,8 +221,8 @@
 #[gtest]
 fn a_snapshot_removes_entries_that_are_no_longer_listed() {
     let mut reader = reader();
-    let known = [told("one", 1), told("two", 1)];
-    let changes = reader.page_read(page(5, vec![told("two", 1)]), known.into_iter(), MS);
+    let known = [upstream_change("one", 1), upstream_change("two", 1)];
+    let changes = reader.receive_page(page(5, vec![upstream_change("two", 1)]), known.into_iter(), MS);
     expect_that!(changes, contains(eq(&Change::UpstreamGone("one".into()))));
     expect_that!(changes, not(contains(eq(&Change::UpstreamGone("two".into())))));
 }
@@ -230,11 +230,11 @@
 #[gtest]
 fn the_watch_after_a_paged_snapshot_continues_from_the_first_pages_revision() {
     let mut reader = reader();
-    let first = ChangePage { next_page: Some("m".into()), ..page(5, vec![told("a", 1)]) };
-    reader.page_read(first, [].into_iter(), MS);
+    let first = ChangePage { next_page: Some("m".into()), ..page(5, vec![upstream_change("a", 1)]) };
+    reader.receive_page(first, [].into_iter(), MS);
     expect_that!(reader.next(MS), matches_pattern!(ReaderCall::Snapshot { next_page: some(eq("m")), .. }));
-    let known = [told("a", 1)];
-    let changes = reader.page_read(page(9, vec![told("n", 1)]), known.into_iter(), MS);
+    let known = [upstream_change("a", 1)];
+    let changes = reader.receive_page(page(9, vec![upstream_change("n", 1)]), known.into_iter(), MS);
     expect_that!(changes.len(), eq(1), "an upstream of the first page is not removed");
     expect_that!(reader.next(1_000 * MS), matches_pattern!(ReaderCall::Watch { after: eq(&5), .. }));
 }
@@ -242,7 +242,7 @@
 #[gtest]
 fn a_dropped_history_causes_an_immediate_snapshot() {
     let mut reader = reader();
-    reader.page_read(page(5, Vec::new()), [].into_iter(), MS);
+    reader.receive_page(page(5, Vec::new()), [].into_iter(), MS);
     reader.call_failed(CallFailure::HistoryGone, 2 * MS);
     expect_that!(reader.next(2 * MS), matches_pattern!(ReaderCall::Snapshot { next_page: none(), .. }));
 }
@@ -250,10 +250,10 @@
 #[gtest]
 fn a_revision_that_went_back_causes_a_snapshot() {
     let mut reader = reader();
-    reader.page_read(page(50, Vec::new()), [].into_iter(), MS);
+    reader.receive_page(page(50, Vec::new()), [].into_iter(), MS);
     // Compared with the revision that the call was made with.
     expect_that!(reader.next(1_000 * MS), matches_pattern!(ReaderCall::Watch { after: eq(&50), .. }));
-    let older = vec![configured(3)];
-    expect_that!(reader.watch_answered(page(20, older), 1_001 * MS), is_empty());
+    let older = vec![configuration_change(3)];
+    expect_that!(reader.receive_watch_response(page(20, older), 1_001 * MS), is_empty());
     expect_that!(reader.next(1_001 * MS), matches_pattern!(ReaderCall::Snapshot { .. }));
 }
--- a/crates/pointvane-dispatch/tests/relays.rs
+++ b/crates/pointvane-dispatch/tests/relays.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use {
-    common::{configuration, gone, page, record, told},
+    common::{configuration, page, record, upstream_change, upstream_removal},
     googletest::prelude::*,
     pointvane_core::{Change, Name, RoutingConfiguration, RoutingDelta, UpstreamRecord},
     pointvane_dispatch::{
-        AllowedRegions, CallFailure, KnownState, PlatformReader, Pool, RankingOptions, ReadMark,
-        ReaderOptions, ReaderRole, Relay, StateReply, StateRequest, Wanted,
+        AllowedRegions, CallFailure, CandidateCriteria, KnownState, PlatformReader, Pool, RankingOptions,
+        ReadMark, ReaderOptions, ReaderRole, Relay, StateReply, StateRequest,
     },
 };
 
@@ -17,7 +17,7 @@
 /// A reader after a full read at a revision.
 fn read_up_to(revision: u64) -> PlatformReader {
     let mut reader = PlatformReader::new(ReaderOptions::default(), 1);
-    reader.page_read(page(revision, Vec::new()), [].into_iter(), MS);
+    reader.receive_page(page(revision, Vec::new()), [].into_iter(), MS);
     reader
 }
 
@@ -60,10 +60,10 @@
 fn an_upstream_that_expired_and_returned_is_kept_when_a_later_relay_repeats_the_changes() {
     let mut watcher = watcher();
     let mut receiver = Receiver::new(&["a"]);
-    watcher.watch_answered(page(7, vec![gone("a"), told("a", 5)]), 10 * MS);
+    watcher.receive_watch_response(page(7, vec![upstream_removal("a"), upstream_change("a", 5)]), 10 * MS);
     receiver.receive(watcher.relay(10 * MS).unwrap(), 11 * MS);
     expect_that!(receiver.knows("a"), eq(true));
-    watcher.watch_answered(page(8, vec![told("b", 1)]), 400 * MS);
+    watcher.receive_watch_response(page(8, vec![upstream_change("b", 1)]), 400 * MS);
     receiver.receive(watcher.relay(400 * MS).unwrap(), 401 * MS);
     expect_that!(receiver.knows("a"), eq(true));
     expect_that!(receiver.knows("b"), eq(true));
@@ -72,12 +72,12 @@
 #[gtest]
 fn a_relay_contains_only_the_last_change_of_each_upstream() {
     let mut watcher = watcher();
-    watcher.watch_answered(page(6, vec![told("a", 1), told("b", 1)]), 10 * MS);
-    watcher.watch_answered(page(8, vec![gone("a"), told("a", 5)]), 400 * MS);
-    watcher.watch_answered(page(9, vec![gone("b")]), 800 * MS);
+    watcher.receive_watch_response(page(6, vec![upstream_change("a", 1), upstream_change("b", 1)]), 10 * MS);
+    watcher.receive_watch_response(page(8, vec![upstream_removal("a"), upstream_change("a", 5)]), 400 * MS);
+    watcher.receive_watch_response(page(9, vec![upstream_removal("b")]), 800 * MS);
     let relay = watcher.relay(800 * MS).unwrap();
     expect_that!(relay.since, eq(5));
-    expect_that!(relay.changes, elements_are![eq(&told("a", 5)), eq(&gone("b"))]);
+    expect_that!(relay.changes, elements_are![eq(&upstream_change("a", 5)), eq(&upstream_removal("b"))]);
 }
 
 #[gtest]
@@ -86,8 +86,9 @@
     let cold = UpstreamRecord { warm_up_left_ms: 3_000, ..record("a", 1) };
     expect_that!(pool.upsert(cold.clone(), 0), eq(true));
     expect_that!(pool.upsert(cold, 2_900 * MS), eq(false));
-    let wanted = Wanted { priority: 0, tried: &[], body_bytes: 0, count: 1, regions: &AllowedRegions::ANY };
-    let key = pool.candidates(&"dispatch".into(), &wanted, 0)[0];
+    let criteria =
+        CandidateCriteria { priority: 0, tried: &[], body_bytes: 0, count: 1, regions: &AllowedRegions::ANY };
+    let key = pool.candidates(&"dispatch".into(), &criteria, 0)[0];
     expect_that!(pool.cost(key, 3_100 * MS), lt(pool.cost(key, 100 * MS)), "the warm-up is over");
 }
 
@@ -95,9 +96,13 @@
 fn read_in_full_twice() -> PlatformReader {
     let mut reader = read_up_to(47);
     reader.compare_with_peers(ReaderRole::Watcher, 47, MS);
-    reader.call_failed(CallFailure::LongerThanState, 10 * MS);
+    reader.call_failed(CallFailure::ExceedsSnapshotSize, 10 * MS);
     reader.next(10 * MS);
-    reader.page_read(page(56, vec![told("b", 1)]), [told("a", 1)].into_iter(), 20 * MS);
+    reader.receive_page(
+        page(56, vec![upstream_change("b", 1)]),
+        [upstream_change("a", 1)].into_iter(),
+        20 * MS,
+    );
     reader
 }
 
@@ -125,15 +130,19 @@
     let reader = read_in_full_twice();
     let answer = |revision| {
         let request = StateRequest { known: ReadMark { revision, version: 0 } };
-        reader.answer(&request, &FixedState(vec![told("b", 1)]), 30 * MS).unwrap()
+        reader.answer(&request, &FixedState(vec![upstream_change("b", 1)]), 30 * MS).unwrap()
     };
-    let known = || [told("a", 1), told("joined-and-left", 1)].into_iter();
+    let known = || [upstream_change("a", 1), upstream_change("joined-and-left", 1)].into_iter();
     let changes_for_52 = answer(52).into_changes(known());
-    expect_that!(changes_for_52, contains(eq(&gone("joined-and-left"))));
-    expect_that!(answer(47).whole, eq(false), "at the revision of the first read the difference is complete");
+    expect_that!(changes_for_52, contains(eq(&upstream_removal("joined-and-left"))));
+    expect_that!(
+        answer(47).is_full,
+        eq(false),
+        "at the revision of the first read the difference is complete"
+    );
     expect_that!(
         answer(47).into_changes(known()),
-        unordered_elements_are![eq(&told("b", 1)), eq(&gone("a"))]
+        unordered_elements_are![eq(&upstream_change("b", 1)), eq(&upstream_removal("a"))]
     );
 }
 
@@ -143,7 +152,7 @@
     let relay = reader.relay(30 * MS).unwrap();
     expect_that!((relay.since, relay.changes.len()), eq((56, 0)));
     reader.next(400 * MS);
-    reader.watch_answered(page(58, vec![told("c", 1)]), 500 * MS);
+    reader.receive_watch_response(page(58, vec![upstream_change("c", 1)]), 500 * MS);
     let relay = reader.relay(500 * MS).unwrap();
     expect_that!((relay.since, relay.changes.len()), eq((56, 1)));
 }
@@ -153,12 +162,12 @@
 fn a_received_delta_is_not_sent_to_nodes_at_revisions_in_between() {
     let mut node = read_up_to(47);
     let mark = ReadMark { revision: 56, version: 0 };
-    let delta = StateReply::new(mark, 0, false, vec![told("b", 1)], None);
+    let delta = StateReply::new(mark, 0, false, vec![upstream_change("b", 1)], None);
     node.receive_state(delta, [].into_iter(), 10 * MS);
     let answer = |revision| {
         let request = StateRequest { known: ReadMark { revision, version: 0 } };
-        node.answer(&request, &FixedState(vec![told("b", 1)]), 20 * MS).unwrap()
+        node.answer(&request, &FixedState(vec![upstream_change("b", 1)]), 20 * MS).unwrap()
     };
-    expect_that!(answer(52).whole, eq(true));
-    expect_that!(answer(47).whole, eq(false));
+    expect_that!(answer(52).is_full, eq(true));
+    expect_that!(answer(47).is_full, eq(false));
 }
--- a/crates/pointvane-dispatch/tests/search.rs
+++ b/crates/pointvane-dispatch/tests/search.rs
@@ -8,8 +8,8 @@
     googletest::prelude::*,
     pointvane_core::{UpstreamLoad, UpstreamRecord},
     pointvane_dispatch::{
-        AllowedRegions, Found, Ineligible, Pool, RankingOptions, Search, SearchGoal, SearchOptions,
-        SearchRequest, SearchStep, UpstreamKey, Wanted,
+        AllowedRegions, CandidateCriteria, Found, Ineligible, Pool, RankingOptions, Search, SearchGoal,
+        SearchOptions, SearchRequest, SearchStep, UpstreamKey,
     },
 };
 
@@ -48,7 +48,13 @@
 fn all_candidates(pool: &mut Pool) -> Vec<UpstreamKey> {
     pool.candidates(
         &"dispatch".into(),
-        &Wanted { priority: 0, tried: &[], body_bytes: 0, count: 100, regions: &AllowedRegions::ANY },
+        &CandidateCriteria {
+            priority: 0,
+            tried: &[],
+            body_bytes: 0,
+            count: 100,
+            regions: &AllowedRegions::ANY,
+        },
         NOW,
     )
 }
@@ -78,14 +84,18 @@
     expect_that!(timeout_us, eq(20 * MS), "not longer than the search");
     for key in &first {
         pool.record_load(*key, load(0, 700), NOW + MS);
-        expect_that!(search.answered(*key, &pool, NOW + MS), eq(false));
+        expect_that!(search.record_probe_response(*key, &pool, NOW + MS), eq(false));
     }
     let (second, timeout_us) = expect_probe(search.next(&mut pool, NOW + 2 * MS));
     expect_that!(second.len(), eq(4));
     expect_that!(timeout_us, eq(18 * MS));
     expect_that!(second.iter().any(|key| first.contains(key)), eq(false));
     pool.record_load(second[1], load(0, 100), NOW + 3 * MS);
-    expect_that!(search.answered(second[1], &pool, NOW + 3 * MS), eq(true), "the first good answer is taken");
+    expect_that!(
+        search.record_probe_response(second[1], &pool, NOW + 3 * MS),
+        eq(true),
+        "the first good answer is taken"
+    );
 }
 
 #[gtest]
@@ -111,7 +121,7 @@
                 now_us += 2 * MS;
                 for (number, key) in upstreams.into_iter().enumerate() {
                     pool.record_load(key, load(0, 300 + 400 * number as u32), now_us);
-                    search.answered(key, &pool, now_us);
+                    search.record_probe_response(key, &pool, now_us);
                 }
             }
         }
@@ -149,7 +159,7 @@
     let mut search = search(OPTIONS, best_within(0));
     let (round, _) = expect_probe(search.next(&mut pool, NOW));
     pool.record_load(round[0], load(0, 700), NOW);
-    search.answered(round[0], &pool, NOW);
+    search.record_probe_response(round[0], &pool, NOW);
     let id = pool.get(round[0]).unwrap().id().to_string();
     pool.upsert(UpstreamRecord { draining: true, ..record(&id, 2) }, NOW);
     expect_that!(search.next(&mut pool, NOW), eq(&SearchStep::Done(Found::Contended(round[1]))));
@@ -177,7 +187,7 @@
     let mut search = search(OPTIONS, best_within(20 * MS));
     let (round, _) = expect_probe(search.next(&mut pool, NOW));
     expect_that!(round.len(), eq(3));
-    expect_that!(search.answered(round[2], &pool, NOW + MS), eq(true));
+    expect_that!(search.record_probe_response(round[2], &pool, NOW + MS), eq(true));
 }
 
 #[gtest]
@@ -208,6 +218,6 @@
     let without_probes = SearchOptions { probes: false, ..OPTIONS };
     for options in [OPTIONS, without_probes] {
         let step = search(options, best_within(20 * MS)).next(&mut pool(0), NOW);
-        expect_that!(step, eq(&SearchStep::Done(Found::Nothing(Ineligible::Gone))));
+        expect_that!(step, eq(&SearchStep::Done(Found::NoUpstream(Ineligible::Gone))));
     }
 }
--- a/crates/pointvane-dispatch/tests/startup.rs
+++ b/crates/pointvane-dispatch/tests/startup.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use {
-    common::{configured, page, told},
+    common::{configuration_change, page, upstream_change},
     googletest::prelude::*,
     pointvane_core::{Change, ChangePage, ReadFreshness},
     pointvane_dispatch::{
@@ -31,7 +31,7 @@
 
 /// The first of two pages.
 fn first_page() -> ChangePage {
-    let changes = vec![configured(3), told("a", 1)];
+    let changes = vec![configuration_change(3), upstream_change("a", 1)];
     ChangePage { next_page: Some("servers/a".into()), ..page(5, changes) }
 }
 
@@ -42,7 +42,7 @@
     expect_that!(is_query(&reader.next(0)), eq(true));
     reader.query_failed(30 * MS);
     expect_that!(reader.next(50 * MS), matches_pattern!(ReaderCall::Snapshot { next_page: none(), .. }));
-    reader.page_read(first_page(), [].into_iter(), 140 * MS);
+    reader.receive_page(first_page(), [].into_iter(), 140 * MS);
     let mut now_us = 140 * MS;
     while is_query(&reader.next(now_us)) {
         now_us += 50 * MS;
@@ -62,7 +62,11 @@
         reader.query_failed(30 * MS);
         expect_that!(reader.next(30 * MS), eq(&ReaderCall::Wait { until_us: 50 * MS }));
         expect_that!(reader.next(50 * MS), matches_pattern!(ReaderCall::Snapshot { .. }), "seed {seed}");
-        reader.page_read(page(5, vec![configured(3), told("a", 1)]), [].into_iter(), 140 * MS);
+        reader.receive_page(
+            page(5, vec![configuration_change(3), upstream_change("a", 1)]),
+            [].into_iter(),
+            140 * MS,
+        );
         expect_that!(reader.mark(), eq(ReadMark { revision: 5, version: 3 }));
     }
 }
@@ -84,12 +88,15 @@
         reader.next(0);
         reader.query_failed(30 * MS);
         reader.next(50 * MS);
-        reader.page_read(first_page(), [].into_iter(), 140 * MS);
+        reader.receive_page(first_page(), [].into_iter(), 140 * MS);
         reader.next(140 * MS);
         let mark = ReadMark { revision: 7, version: 3 };
-        let state = StateReply::new(mark, 0, true, vec![told("b", 1)], None);
-        let changes = reader.receive_state(state, [told("a", 1)].into_iter(), 200 * MS);
-        expect_that!(changes, elements_are![eq(&told("b", 1)), eq(&Change::UpstreamGone("a".into()))]);
+        let state = StateReply::new(mark, 0, true, vec![upstream_change("b", 1)], None);
+        let changes = reader.receive_state(state, [upstream_change("a", 1)].into_iter(), 200 * MS);
+        expect_that!(
+            changes,
+            elements_are![eq(&upstream_change("b", 1)), eq(&Change::UpstreamGone("a".into()))]
+        );
         expect_that!(reader.mark(), eq(mark));
     }
 }
@@ -130,7 +137,7 @@
     let first = reader.next(50 * MS);
     let stale = ReadFreshness::MayBeStale;
     expect_that!(first, matches_pattern!(ReaderCall::Snapshot { freshness: eq(&stale), .. }));
-    reader.page_read(page(5, vec![configured(3)]), [].into_iter(), 140 * MS);
+    reader.receive_page(page(5, vec![configuration_change(3)]), [].into_iter(), 140 * MS);
     reader.next(2_000 * MS);
     reader.call_failed(CallFailure::HistoryGone, 2_100 * MS);
     let mut call = reader.next(2_100 * MS);
@@ -146,8 +153,12 @@
 #[gtest]
 fn the_watch_continues_from_the_oldest_page() {
     let mut reader = starting_node(1);
-    reader.page_read(ChangePage { next_page: Some("m".into()), ..page(9, Vec::new()) }, [].into_iter(), MS);
-    reader.page_read(page(6, vec![configured(3)]), [].into_iter(), 2 * MS);
+    reader.receive_page(
+        ChangePage { next_page: Some("m".into()), ..page(9, Vec::new()) },
+        [].into_iter(),
+        MS,
+    );
+    reader.receive_page(page(6, vec![configuration_change(3)]), [].into_iter(), 2 * MS);
     expect_that!(reader.mark().revision, eq(6));
 }
 
@@ -160,13 +171,13 @@
         let mut now_us = 0;
         while is_query(&reader.next(now_us)) {
             now_us += 200 * MS;
-            reader.query_found_reader(now_us);
+            reader.query_found_reading_peer(now_us);
             now_us += 20 * MS;
         }
         expect_that!(now_us, all!(ge(5_900 * MS), le(6_500 * MS)), "seed {seed}");
         let mut reader = starting_node(seed);
         expect_that!(is_query(&reader.next(0)), eq(true));
-        reader.query_found_reader(200 * MS);
+        reader.query_found_reading_peer(200 * MS);
         // The peer does not report again.
         let mut now_us = 220 * MS;
         while is_query(&reader.next(now_us)) {
