--- a/crates/pointvane-dispatch/tests/states.rs
+++ b/crates/pointvane-dispatch/tests/state_queries.rs
@@ -3,12 +3,13 @@
 mod common;
 
 use {
-    common::{configuration, configured, page, record, route, told},
+    common::{configuration, configuration_change, page, record, route, upstream_change},
     googletest::prelude::*,
     pointvane_core::{Change, RouteKind, RouteRule, RoutingConfiguration, RoutingDelta, UpstreamRecord},
     pointvane_dispatch::{
-        Broadcaster, CallFailure, KnownState, PeerQuery, PlatformReader, ReadMark, ReaderCall, ReaderOptions,
-        ReaderQuery, ReaderRole, Relay, StateReply, StateRequest, WholeStateLimit, is_answer_sent,
+        Broadcaster, CallFailure, FullStateLimit, KnownState, PeerQuery, PlatformReader, ReadMark,
+        ReaderCall, ReaderOptions, ReaderQuery, ReaderRole, Relay, StateReply, StateRequest,
+        fits_reply_limit,
     },
     pointvane_mesh::codec,
     std::{net::SocketAddr, sync::Arc},
@@ -25,7 +26,7 @@
 
 impl KnownState for PeerState {
     fn entries(&self) -> Vec<Change> {
-        self.ids.iter().map(|id| told(id, 1)).collect()
+        self.ids.iter().map(|id| upstream_change(id, 1)).collect()
     }
 
     fn configuration(&self) -> RoutingConfiguration {
@@ -40,7 +41,7 @@
 /// A reader that has read everything up to a revision and configuration version from the platform.
 fn reader_at(revision: u64, version: u64) -> PlatformReader {
     let mut reader = PlatformReader::new(ReaderOptions { start_queries: 0, ..ReaderOptions::default() }, 1);
-    reader.page_read(page(revision, vec![configured(version)]), [].into_iter(), MS);
+    reader.receive_page(page(revision, vec![configuration_change(version)]), [].into_iter(), MS);
     reader.compare_with_peers(ReaderRole::Follower, 0, MS);
     reader
 }
@@ -54,7 +55,7 @@
 }
 
 fn receive_reply(reader: &mut PlatformReader, reply: StateReply, now_us: u64) -> Vec<Change> {
-    reader.receive_state(reply, [told("old", 1)].into_iter(), now_us)
+    reader.receive_state(reply, [upstream_change("old", 1)].into_iter(), now_us)
 }
 
 #[gtest]
@@ -80,7 +81,15 @@
     reader.next(299 * MS);
     let changes = receive_reply(&mut reader, reply, 300 * MS);
     let gone = Change::UpstreamGone("old".into());
-    expect_that!(changes, elements_are![eq(&configured(3)), eq(&told("a", 1)), eq(&told("b", 1)), eq(&gone)]);
+    expect_that!(
+        changes,
+        elements_are![
+            eq(&configuration_change(3)),
+            eq(&upstream_change("a", 1)),
+            eq(&upstream_change("b", 1)),
+            eq(&gone)
+        ]
+    );
     expect_that!(reader.mark(), eq(ReadMark { revision: 7, version: 3 }));
     reader.compare_with_peers(ReaderRole::Follower, 7, 400 * MS);
     expect_that!(reader.next(1_400 * MS), matches_pattern!(ReaderCall::Wait { .. }));
@@ -100,7 +109,7 @@
 
 impl KnownState for ManyUpstreams {
     fn entries(&self) -> Vec<Change> {
-        (0..self.0).map(|number| told(&format!("i-{number}"), 1)).collect()
+        (0..self.0).map(|number| upstream_change(&format!("i-{number}"), 1)).collect()
     }
 
     fn configuration(&self) -> RoutingConfiguration {
@@ -120,19 +129,19 @@
     for upstreams in [326, 2_999, 9_000, 12_000, 24_000] {
         let reply = peer.answer(&EMPTY_REQUEST, &ManyUpstreams(upstreams), 2 * MS).unwrap();
         let bytes = codec::packed_frame(&reply).unwrap().len();
-        expect_that!(is_answer_sent(bytes), eq(true), "{upstreams} upstreams, {bytes} bytes");
+        expect_that!(fits_reply_limit(bytes), eq(true), "{upstreams} upstreams, {bytes} bytes");
     }
-    expect_that!(is_answer_sent(1_500_000), eq(true));
-    expect_that!(is_answer_sent(1_500_001), eq(false));
+    expect_that!(fits_reply_limit(1_500_000), eq(true));
+    expect_that!(fits_reply_limit(1_500_001), eq(false));
 }
 
 #[gtest]
 fn a_request_for_a_full_state_is_recognised_before_the_state_is_built() {
     let peer = reader_at(7, 3);
-    expect_that!(peer.answers_whole(&EMPTY_REQUEST), eq(true));
+    expect_that!(peer.answers_with_full_state(&EMPTY_REQUEST), eq(true));
     expect_that!(peer.newer_age_ms(&EMPTY_REQUEST, 2 * MS), some(anything()));
     let current = StateRequest { known: peer.mark() };
-    expect_that!(peer.answers_whole(&current), eq(false));
+    expect_that!(peer.answers_with_full_state(&current), eq(false));
     expect_that!(peer.newer_age_ms(&current, 2 * MS), none());
 }
 
@@ -151,7 +160,7 @@
     let peer = reader_at(7, 3);
     let reply = peer.answer(&EMPTY_REQUEST, &ManyUpstreams(1_080), 2 * MS).unwrap();
     expect_that!(codec::frame(&reply).unwrap().len(), le(80_000));
-    let mut limit = WholeStateLimit::default();
+    let mut limit = FullStateLimit::default();
     let accepted = (0..500).filter(|_| limit.begin()).count();
     expect_that!(accepted, eq(8));
     limit.end();
@@ -178,7 +187,7 @@
 fn an_older_answer_is_ignored() {
     let mut reader = reader_at(5, 2);
     let mark = ReadMark { revision: 4, version: 2 };
-    let reply = StateReply::new(mark, 0, true, vec![told("a", 1)], None);
+    let reply = StateReply::new(mark, 0, true, vec![upstream_change("a", 1)], None);
     expect_that!(receive_reply(&mut reader, reply, 10 * MS), is_empty());
     expect_that!(reader.mark().revision, eq(5));
 }
@@ -187,7 +196,7 @@
 fn a_relayed_configuration_is_queried_from_peers_then_read_from_the_platform() {
     let mut reader = reader_at(5, 2);
     reader.receive_relay(relay(6, 3, Vec::new()), 0.5, 700 * MS);
-    expect_that!(reader.is_to_be_interrupted(), eq(true));
+    expect_that!(reader.should_interrupt(), eq(true));
     let expected_wait = matches_pattern!(ReaderQuery::Wait { until_us: eq(&(850 * MS)) });
     expect_that!(reader.next_query(700 * MS), expected_wait);
     for _ in 0..2 {
@@ -219,13 +228,13 @@
     let mut follower = reader_at(5, 2);
     expect_that!(follower.next(5_000 * MS), matches_pattern!(ReaderCall::Watch { .. }), "no relay arrives");
     follower.receive_relay(relay(6, 3, Vec::new()), 0.0, 5_300 * MS);
-    expect_that!(follower.is_to_be_interrupted(), eq(false));
+    expect_that!(follower.should_interrupt(), eq(false));
     expect_that!(follower.next_query(5_300 * MS), matches_pattern!(ReaderQuery::Peer(_)));
     // A watcher first gives its own response some time to arrive.
     let mut watcher = reader_at(5, 2);
     watcher.compare_with_peers(ReaderRole::Watcher, 5, 5_000 * MS);
     watcher.next(5_000 * MS);
-    watcher.answer_began(5_100 * MS);
+    watcher.response_started(5_100 * MS);
     watcher.receive_relay(relay(6, 3, Vec::new()), 0.0, 5_300 * MS);
     expect_that!(watcher.next_query(5_300 * MS), matches_pattern!(ReaderQuery::Wait { .. }));
     watcher.receive_relay(relay(7, 4, Vec::new()), 0.0, 5_600 * MS);
@@ -236,7 +245,7 @@
 fn a_truncated_response_causes_a_snapshot() {
     let mut reader = reader_at(5, 2);
     expect_that!(reader.next(5_000 * MS), matches_pattern!(ReaderCall::Watch { .. }));
-    reader.call_failed(CallFailure::BrokenOff, 9_500 * MS);
+    reader.call_failed(CallFailure::Truncated, 9_500 * MS);
     expect_that!(reader.next(12_000 * MS), matches_pattern!(ReaderCall::Snapshot { next_page: none(), .. }));
 }
 
@@ -244,20 +253,20 @@
 fn a_peer_sends_only_the_changes_that_the_querier_lacks() {
     let mut peer = reader_at(5, 2);
     peer.next(2_000 * MS);
-    peer.watch_answered(page(6, vec![told("a", 1)]), 2_001 * MS);
+    peer.receive_watch_response(page(6, vec![upstream_change("a", 1)]), 2_001 * MS);
     peer.next(4_000 * MS);
-    peer.watch_answered(page(8, vec![configured(4), told("b", 1)]), 4_001 * MS);
+    peer.receive_watch_response(page(8, vec![configuration_change(4), upstream_change("b", 1)]), 4_001 * MS);
     let state = PeerState { ids: &["a", "b", "c"], version: 4 };
     let request = StateRequest { known: ReadMark { revision: 6, version: 2 } };
     let reply = peer.answer(&request, &state, 4_002 * MS).unwrap();
-    expect_that!(reply.whole, eq(false));
+    expect_that!(reply.is_full, eq(false));
     let mut querier = reader_at(6, 2);
     let changes = receive_reply(&mut querier, reply, 4_003 * MS);
-    expect_that!(changes, elements_are![eq(&configured(4)), eq(&told("b", 1))]);
+    expect_that!(changes, elements_are![eq(&configuration_change(4)), eq(&upstream_change("b", 1))]);
     expect_that!(querier.mark(), eq(ReadMark { revision: 8, version: 4 }));
     // A querier whose revision precedes the recorded changes receives the full state.
     let outdated = StateRequest { known: ReadMark { revision: 2, version: 1 } };
-    expect_that!(peer.answer(&outdated, &state, 4_002 * MS).unwrap().whole, eq(true));
+    expect_that!(peer.answer(&outdated, &state, 4_002 * MS).unwrap().is_full, eq(true));
 }
 
 /// Guards against a call that is aborted and repeated for each relay: a node whose platform responses took
@@ -270,7 +279,7 @@
     watcher.receive_relay(relay(6, 2, Vec::new()), 0.0, now_us);
     expect_that!(watcher.next(now_us), matches_pattern!(ReaderCall::Watch { .. }));
     watcher.receive_relay(relay(7, 3, Vec::new()), 0.0, now_us + 300 * MS);
-    expect_that!(watcher.is_to_be_interrupted(), eq(false), "the call under way brings what is missing");
+    expect_that!(watcher.should_interrupt(), eq(false), "the call under way brings what is missing");
 }
 
 /// A configuration whose routes are the same in each version.
@@ -309,7 +318,7 @@
 fn a_peer_sends_only_configuration_deltas() {
     let mut peer = reader_at(5, 2);
     peer.next(2_000 * MS);
-    peer.watch_answered(page(8, vec![configured(4)]), 2_001 * MS);
+    peer.receive_watch_response(page(8, vec![configuration_change(4)]), 2_001 * MS);
     let request = |revision, version| StateRequest { known: ReadMark { revision, version } };
     let reply = peer.answer(&request(5, 2), &PeerWithDeltas, 2_002 * MS).unwrap();
     let mut querier = reader_at(5, 2);
@@ -341,7 +350,7 @@
     let mut watcher = reader_at(5, 1);
     watcher.compare_with_peers(ReaderRole::Watcher, 5, 10_000 * MS);
     watcher.next(10_000 * MS);
-    watcher.watch_answered(page(6, vec![configured(2)]), 10_100 * MS);
+    watcher.receive_watch_response(page(6, vec![configuration_change(2)]), 10_100 * MS);
     watcher.receive_relay(relay(7, 3, Vec::new()), 0.0, 10_150 * MS);
     expect_that!(
         watcher.next(10_150 * MS),
@@ -369,34 +378,34 @@
         received_at_us: at_ms * MS,
     };
     let ahead = relayed(1, 9, 1_000);
-    expect_that!(relayed(2, 8, 1_300).or_better(Some(ahead)), eq(ahead));
+    expect_that!(relayed(2, 8, 1_300).most_advanced(Some(ahead)), eq(ahead));
     expect_that!(
-        relayed(2, 9, 1_300).or_better(Some(ahead)),
+        relayed(2, 9, 1_300).most_advanced(Some(ahead)),
         eq(relayed(2, 9, 1_300)),
         "a newer relay of the same revision wins"
     );
     expect_that!(
-        relayed(1, 3, 1_300).or_better(Some(ahead)),
+        relayed(1, 3, 1_300).most_advanced(Some(ahead)),
         eq(relayed(1, 3, 1_300)),
         "it reports its own revision"
     );
     expect_that!(
-        relayed(2, 8, 2_450).or_better(Some(ahead)),
+        relayed(2, 8, 2_450).most_advanced(Some(ahead)),
         eq(relayed(2, 8, 2_450)),
         "relays of the other have stopped"
     );
-    expect_that!(relayed(2, 8, 1_300).or_better(None), eq(relayed(2, 8, 1_300)));
+    expect_that!(relayed(2, 8, 1_300).most_advanced(None), eq(relayed(2, 8, 1_300)));
 }
 
 #[gtest]
 fn a_relayed_drain_takes_effect_though_the_configuration_is_missing() {
     let mut reader = reader_at(5, 2);
     let draining = Change::Upstream(UpstreamRecord { draining: true, ..record("a", 2) });
-    let changes = vec![draining.clone(), told("b", 1), Change::UpstreamGone("c".into())];
+    let changes = vec![draining.clone(), upstream_change("b", 1), Change::UpstreamGone("c".into())];
     // Upstreams that joined or were removed arrive with the queried state.
     expect_that!(reader.receive_relay(relay(6, 3, changes), 0.5, 700 * MS), elements_are![eq(&draining)]);
     expect_that!(reader.mark(), eq(ReadMark { revision: 5, version: 2 }));
-    expect_that!(reader.is_to_be_interrupted(), eq(true));
+    expect_that!(reader.should_interrupt(), eq(true));
 }
 
 #[gtest]
--- a/crates/pointvane-dispatch/tests/suspensions.rs
+++ b/crates/pointvane-dispatch/tests/suspensions.rs
@@ -7,13 +7,13 @@
 mod common;
 
 use {
-    common::{page, record, told},
+    common::{page, record, upstream_change},
     googletest::prelude::*,
     pointvane_core::{UpstreamLoad, UpstreamRecord},
     pointvane_dispatch::{
-        AllowedRegions, BudgetLimits, Found, Ineligible, NodeBudgets, PROBE_WINDOW_S, PlatformReader, Pool,
-        RankingOptions, ReaderCall, ReaderOptions, ReaderRole, Relay, Search, SearchGoal, SearchOptions,
-        SearchRequest, SearchStep, UpstreamKey, Wanted,
+        AllowedRegions, BudgetLimits, CandidateCriteria, Found, Ineligible, NodeBudgets, PROBE_WINDOW_S,
+        PlatformReader, Pool, RankingOptions, ReaderCall, ReaderOptions, ReaderRole, Relay, Search,
+        SearchGoal, SearchOptions, SearchRequest, SearchStep, UpstreamKey,
     },
 };
 
@@ -29,8 +29,9 @@
 fn pool() -> (Pool, UpstreamKey) {
     let mut pool = Pool::new(RankingOptions::default(), "one".into(), 1);
     pool.upsert(record("a", 1), BEGIN_US);
-    let wanted = Wanted { priority: 0, tried: &[], body_bytes: 0, count: 1, regions: &AllowedRegions::ANY };
-    let key = pool.candidates(&SERVICE.into(), &wanted, BEGIN_US)[0];
+    let criteria =
+        CandidateCriteria { priority: 0, tried: &[], body_bytes: 0, count: 1, regions: &AllowedRegions::ANY };
+    let key = pool.candidates(&SERVICE.into(), &criteria, BEGIN_US)[0];
     (pool, key)
 }
 
@@ -67,7 +68,7 @@
         expect_that!(search.next(&mut pool, BEGIN_US), matches_pattern!(SearchStep::Probe { .. }));
         pool.record_load(key, IDLE, BEGIN_US);
         let resumed_at_us = BEGIN_US + suspended_ms * MS;
-        expect_that!(search.answered(key, &pool, resumed_at_us), eq(false), "{suspended_ms} ms");
+        expect_that!(search.record_probe_response(key, &pool, resumed_at_us), eq(false), "{suspended_ms} ms");
         expect_that!(search.next(&mut pool, resumed_at_us), eq(&SearchStep::Done(Found::Contended(key))));
     }
 }
@@ -117,7 +118,7 @@
     for suspended_ms in SUSPENDED_MS {
         let (mut pool, key) = pool();
         pool.record_warm_up(key, 2_000, BEGIN_US);
-        (0..3).for_each(|_| pool.get_mut(key).unwrap().was_unresponsive(BEGIN_US));
+        (0..3).for_each(|_| pool.get_mut(key).unwrap().record_unresponsive(BEGIN_US));
         let resumed_at_us = BEGIN_US + suspended_ms * MS;
         let state = pool.get(key).unwrap();
         expect_that!(state.is_cold(resumed_at_us), eq(suspended_ms < 2_000), "{suspended_ms} ms");
@@ -132,7 +133,7 @@
     let limits = BudgetLimits { retry_ratio: 0.2, retry_slack: 60.0, probes_per_upstream_per_s: 60.0 };
     let burst_after = |idle_us: u64| {
         let mut budgets = NodeBudgets::new(BEGIN_US);
-        budgets.divide(20, 30, &limits, BEGIN_US);
+        budgets.set_fleet_size(20, 30, &limits, BEGIN_US);
         while budgets.take_probe(BEGIN_US) {}
         (0..100_000).take_while(|_| budgets.take_probe(BEGIN_US + idle_us)).count()
     };
@@ -152,7 +153,7 @@
         let mut reader =
             PlatformReader::new(ReaderOptions { start_queries: 0, ..ReaderOptions::default() }, 1);
         reader.next(BEGIN_US);
-        reader.page_read(page(5, vec![told("a", 1)]), std::iter::empty(), BEGIN_US);
+        reader.receive_page(page(5, vec![upstream_change("a", 1)]), std::iter::empty(), BEGIN_US);
         reader.compare_with_peers(ReaderRole::Follower, 5, BEGIN_US);
         let resumed_at_us = BEGIN_US + suspended_ms * MS;
         let age_ms = reader.age_ms(resumed_at_us).unwrap();
--- a/crates/pointvane-dispatch/tests/upstreams.rs
+++ b/crates/pointvane-dispatch/tests/upstreams.rs
@@ -4,7 +4,7 @@
     googletest::prelude::*,
     pointvane_core::{Name, UpstreamLoad, UpstreamRecord},
     pointvane_dispatch::{
-        AllowedRegions, AttemptOutcome, Pool, RankingOptions, Refusal, UpstreamKey, Wanted,
+        AllowedRegions, AttemptOutcome, CandidateCriteria, NotRunReason, Pool, RankingOptions, UpstreamKey,
     },
     rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom},
     std::collections::BTreeMap,
@@ -42,7 +42,7 @@
 fn candidates(pool: &mut Pool, tried: &[UpstreamKey], now_us: u64) -> Vec<UpstreamKey> {
     pool.candidates(
         &SERVICE.into(),
-        &Wanted { priority: 0, tried, body_bytes: 0, count: 10, regions: &AllowedRegions::ANY },
+        &CandidateCriteria { priority: 0, tried, body_bytes: 0, count: 10, regions: &AllowedRegions::ANY },
         now_us,
     )
 }
@@ -72,13 +72,13 @@
 fn an_upstream_has_room_while_a_slot_is_free_by_its_report_and_the_requests_sent_since() {
     let mut pool = pool(&[("a", "one")]);
     let a = key(&mut pool, "a");
-    expect_that!(pool.has_room(a, MS), eq(true), "no report yet");
+    expect_that!(pool.has_capacity(a, MS), eq(true), "no report yet");
     pool.record_load(a, load(2, 0, 100), 10 * MS);
-    expect_that!(pool.has_room(a, 11 * MS), eq(true));
+    expect_that!(pool.has_capacity(a, 11 * MS), eq(true));
     pool.get_mut(a).unwrap().request_started();
-    expect_that!(pool.has_room(a, 11 * MS), eq(false), "the last slot is in use");
+    expect_that!(pool.has_capacity(a, 11 * MS), eq(false), "the last slot is in use");
     pool.record_load(a, load(2, 1, 100), 20 * MS);
-    expect_that!(pool.has_room(a, 21 * MS), eq(false), "a request is queued there");
+    expect_that!(pool.has_capacity(a, 21 * MS), eq(false), "a request is queued there");
 }
 
 #[gtest]
@@ -149,7 +149,7 @@
     let mut pool = pool(&[("a", "one"), ("b", "one")]);
     let a = key(&mut pool, "a");
     for _ in 0..3 {
-        pool.get_mut(a).unwrap().attempt_ended(AttemptOutcome::Broken, 10 * MS);
+        pool.get_mut(a).unwrap().record_attempt(AttemptOutcome::Broken, 10 * MS);
     }
     let left = candidates(&mut pool, &[], 11 * MS);
     expect_that!(ids(&pool, &left), elements_are![eq("b")]);
@@ -161,7 +161,7 @@
     let mut pool = pool(&[("a", "one"), ("b", "one")]);
     for id in ["a", "b"] {
         let key = key(&mut pool, id);
-        pool.get_mut(key).unwrap().attempt_ended(AttemptOutcome::NotRun(Refusal::Misdirected), 10 * MS);
+        pool.get_mut(key).unwrap().record_attempt(AttemptOutcome::NotRun(NotRunReason::Misdirected), 10 * MS);
     }
     expect_that!(candidates(&mut pool, &[], 11 * MS).len(), eq(2));
 }
@@ -171,8 +171,8 @@
     let mut pool = pool(&[("sound", "one"), ("failing", "one")]);
     let failing = key(&mut pool, "failing");
     for _ in 0..6 {
-        pool.get_mut(failing).unwrap().attempt_ended(AttemptOutcome::Broken, MS);
-        pool.get_mut(failing).unwrap().attempt_ended(AttemptOutcome::Answered { failed: false }, MS);
+        pool.get_mut(failing).unwrap().record_attempt(AttemptOutcome::Broken, MS);
+        pool.get_mut(failing).unwrap().record_attempt(AttemptOutcome::Answered { failed: false }, MS);
     }
     let name: Name = "sound".into();
     let best = candidates(&mut pool, &[], 2 * MS)[0];
@@ -235,7 +235,13 @@
     expect_that!(
         pool.candidates(
             &SERVICE.into(),
-            &Wanted { priority: 0, tried: &[], body_bytes: 0, count: 32, regions: &AllowedRegions::ANY },
+            &CandidateCriteria {
+                priority: 0,
+                tried: &[],
+                body_bytes: 0,
+                count: 32,
+                regions: &AllowedRegions::ANY
+            },
             MS
         )
         .len(),
@@ -264,7 +270,7 @@
 fn an_unreachable_upstream_is_ejected_at_once() {
     let mut pool = pool(&[("a", "one"), ("b", "one")]);
     let a = key(&mut pool, "a");
-    pool.get_mut(a).unwrap().attempt_ended(AttemptOutcome::Unreachable, 10 * MS);
+    pool.get_mut(a).unwrap().record_attempt(AttemptOutcome::Unreachable, 10 * MS);
     let left = candidates(&mut pool, &[], 11 * MS);
     expect_that!(ids(&pool, &left), elements_are![eq("b")]);
     expect_that!(candidates(&mut pool, &[], 1_000 * MS).len(), eq(2), "it is tried again");
@@ -326,8 +332,8 @@
             expect_that!(pool.get(a).unwrap().is_ejected(number * MS), eq(false), "{running} running");
             pool.record_load(a, load(running, 0, 100), number * MS);
             let sent = pool.load_when_sent(a, number * MS).unwrap();
-            let outcome = AttemptOutcome::NotRun(Refusal::Busy).in_light_of(&sent);
-            pool.get_mut(a).unwrap().attempt_ended(outcome, number * MS);
+            let outcome = AttemptOutcome::NotRun(NotRunReason::Busy).given_load(&sent);
+            pool.get_mut(a).unwrap().record_attempt(outcome, number * MS);
         }
         expect_that!(pool.get(a).unwrap().is_ejected(4 * MS), eq(ejected), "{running} running");
     }
@@ -339,6 +345,6 @@
     let a = key(&mut pool, "a");
     pool.record_load(a, load(0, 0, 100), MS);
     let sent = pool.load_when_sent(a, 1_000 * MS).unwrap();
-    let outcome = AttemptOutcome::NotRun(Refusal::Busy).in_light_of(&sent);
-    expect_that!(outcome, eq(AttemptOutcome::NotRun(Refusal::Busy)));
+    let outcome = AttemptOutcome::NotRun(NotRunReason::Busy).given_load(&sent);
+    expect_that!(outcome, eq(AttemptOutcome::NotRun(NotRunReason::Busy)));
 }
--- a/crates/pointvane-dispatch/tests/warm_up.rs
+++ b/crates/pointvane-dispatch/tests/warm_up.rs
@@ -8,7 +8,7 @@
     googletest::prelude::*,
     pointvane_core::UpstreamRecord,
     pointvane_dispatch::{
-        AllowedRegions, Ineligible, Pool, RankingOptions, UpstreamKey, Wanted, WarmUpBound,
+        AllowedRegions, CandidateCriteria, Ineligible, Pool, RankingOptions, UpstreamKey, WarmUpBound,
     },
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::collections::HashMap,
@@ -35,11 +35,16 @@
         let node = |number: usize| {
             let seed = seed * 10_000 + number as u64;
             let mut pool = Pool::new(RankingOptions::default(), "one".into(), seed);
-            pool.share_warm_up(BOUND, nodes, 0);
+            pool.set_warm_up_bound(BOUND, nodes, 0);
             pool.set_warm_up_rates(HashMap::from([("dispatch".into(), rate_per_s)]));
             pool.upsert(cold_record(0), 0);
-            let criteria =
-                Wanted { priority: 0, tried: &[], body_bytes: 0, count: 1, regions: &AllowedRegions::ANY };
+            let criteria = CandidateCriteria {
+                priority: 0,
+                tried: &[],
+                body_bytes: 0,
+                count: 1,
+                regions: &AllowedRegions::ANY,
+            };
             let key = pool.candidates(&"dispatch".into(), &criteria, 0)[0];
             pool.record_warm_up(key, left_ms, BEGIN_US);
             (pool, key)
@@ -105,10 +110,11 @@
 #[gtest]
 fn a_node_that_has_just_started_sends_nothing_to_cold_upstreams() {
     let mut pool = Pool::new(RankingOptions::default(), "one".into(), 1);
-    pool.share_warm_up(BOUND, 20, 0);
+    pool.set_warm_up_bound(BOUND, 20, 0);
     pool.set_warm_up_rates(HashMap::from([("dispatch".into(), 20_000.0)]));
     pool.upsert(record("b", 1), 0);
-    let criteria = Wanted { priority: 0, tried: &[], body_bytes: 0, count: 1, regions: &AllowedRegions::ANY };
+    let criteria =
+        CandidateCriteria { priority: 0, tried: &[], body_bytes: 0, count: 1, regions: &AllowedRegions::ANY };
     let key = pool.candidates(&"dispatch".into(), &criteria, 0)[0];
     pool.record_warm_up(key, 5_000, 0);
     expect_that!(pool.begin_send(key, S), err(eq(Ineligible::Cold)));
@@ -132,7 +138,8 @@
 fn services_without_a_rate_are_not_limited() {
     let mut pool = Pool::new(RankingOptions::default(), "one".into(), 1);
     pool.upsert(cold_record(9_000), 0);
-    let criteria = Wanted { priority: 0, tried: &[], body_bytes: 0, count: 1, regions: &AllowedRegions::ANY };
+    let criteria =
+        CandidateCriteria { priority: 0, tried: &[], body_bytes: 0, count: 1, regions: &AllowedRegions::ANY };
     let key = pool.candidates(&"dispatch".into(), &criteria, 0)[0];
     (0..50).for_each(|_| expect_that!(pool.begin_send(key, 100), ok(())));
 }
--- a/crates/pointvane-dispatch/tests/wire_format.rs
+++ b/crates/pointvane-dispatch/tests/wire_format.rs
@@ -7,8 +7,8 @@
         RoutingConfiguration, RoutingDelta, ServiceRule, UpstreamRecord, WeightedService,
     },
     pointvane_dispatch::{
-        AccountShare, AccountUsage, ConfigurationUpdate, QuotaMessage, ReadMark, Relay, RelayDatagram,
-        Segment, StateOffer, StateReply, StateRequest, ToldUse, WireRelay,
+        AccountShare, AccountUsage, ConfigurationUpdate, FleetUsage, QuotaMessage, ReadMark, Relay,
+        RelayDatagram, Segment, StateOffer, StateReply, StateRequest, WireRelay,
     },
     pointvane_mesh::codec,
     serde::{Serialize, de::DeserializeOwned},
@@ -128,9 +128,9 @@
         account: "yard".into(),
         admitted: [300, 20, 0, 0, 1],
         offered_per_1000_s: 8_500,
-        told: Some(ToldUse { used_per_mille: 990, ago_ms: 70 }),
+        fleet_usage: Some(FleetUsage { used_per_mille: 990, age_ms: 70 }),
     };
-    lines.add("quota-usage", &QuotaMessage::Usage { life: 1_700_000_000_123, accounts: vec![usage] });
+    lines.add("quota-usage", &QuotaMessage::Usage { incarnation: 1_700_000_000_123, accounts: vec![usage] });
     let share = AccountShare {
         account: "yard".into(),
         share_per_mille: 350,
--- a/crates/pointvane-node/src/access.rs
+++ b/crates/pointvane-node/src/access.rs
@@ -4,7 +4,7 @@
     crate::{answer::Refused, node::Node, quota::QuotaCharge, request::CallerRequest},
     hyper::{HeaderMap, header::AUTHORIZATION},
     pointvane_core::{ErrorKind, KeyDigest, PlatformAdapter},
-    pointvane_dispatch::{QuotaDecision, RoutedRequest, confirm},
+    pointvane_dispatch::{QuotaDecision, RoutedRequest, check_confirmed},
     std::time::Duration,
 };
 
@@ -30,8 +30,8 @@
     ) -> Result<RoutedRequest, Refused> {
         let account = self.dispatcher.routes().account_of(&routed.route, key)?;
         let confirmed_ago = self.platform.state().age_ms(self.now_us()).map(Duration::from_millis);
-        confirm(account.as_deref(), confirmed_ago, self.settings().limits.accounts_unconfirmed)?;
-        Ok(routed.of_account(account))
+        check_confirmed(account.as_deref(), confirmed_ago, self.settings().limits.accounts_unconfirmed)?;
+        Ok(routed.with_account(account))
     }
 
     /// Charges a request to its account's quota; none if it has no account, or the account has no quota.
@@ -42,9 +42,9 @@
         let Some(account) = &routed.account else { return Ok(None) };
         let Some(quota) = account.quota else { return Ok(None) };
         let (now_us, draw) = (self.now_us(), self.dispatcher.draw());
-        let contact = self.fleet.contact(&self.settings(), now_us);
-        let decision = self.dispatcher.quotas.admit(&account.name, quota, contact, now_us, draw);
-        if self.dispatcher.quotas.borrow_mut().has_unknown() {
+        let fleet_view = self.fleet.view(&self.settings(), now_us);
+        let decision = self.dispatcher.quotas.admit(&account.name, quota, fleet_view, now_us, draw);
+        if self.dispatcher.quotas.borrow_mut().has_unreported_account() {
             self.quotas_used.notify_one();
         }
         self.report.quota_decided(decision == QuotaDecision::Admitted);
--- a/crates/pointvane-node/src/attempt.rs
+++ b/crates/pointvane-node/src/attempt.rs
@@ -71,7 +71,7 @@
     };
     request.tried.borrow_mut().push(key);
     let Some(snapshot) = UpstreamSnapshot::of(&node, key) else {
-        return AttemptEnd::Tried(AttemptOutcome::Withheld(Ineligible::Gone)).into();
+        return AttemptEnd::Attempted(AttemptOutcome::Withheld(Ineligible::Gone)).into();
     };
     let sent_at_us = node.now_us();
     let in_flight = InFlight::start(&node, &request, key, unresponsive_after(&node, &request, &snapshot));
@@ -85,7 +85,7 @@
     }
     record_outcome(&node, &request, key, &snapshot, outcome, latency_us as f64 / US_PER_MS as f64);
     // An attempt that was withheld gives no evidence about the trial request at this upstream.
-    if outcome.was_begun() {
+    if outcome.send_started() {
         node.record_upstream_return(key, outcome);
     }
     node.record_evidence(&request, outcome, sent_at_us, ended_at_us);
@@ -93,7 +93,7 @@
     let times = AttemptTimes { search_ms, latency_ms: latency_us / US_PER_MS };
     report(&node, &request, role, &snapshot, AttemptEnding { outcome, retry_after }, &times);
     // The error of an exchange is its outcome, which is recorded above.
-    AttemptReport { end: AttemptEnd::Tried(outcome), answer: answer.ok() }
+    AttemptReport { end: AttemptEnd::Attempted(outcome), answer: answer.ok() }
 }
 
 /// Classifies the result of an exchange, given the upstream's load when the request was sent.
@@ -104,7 +104,7 @@
     match answer {
         Ok(response) => AttemptOutcome::Answered { failed: response.status().is_server_error() },
         Err(AttemptOutcome::Broken) if has_crashed(snapshot.address).await => AttemptOutcome::Crashed,
-        Err(outcome) => outcome.in_light_of(&snapshot.load_when_sent),
+        Err(outcome) => outcome.given_load(&snapshot.load_when_sent),
     }
 }
 
@@ -128,7 +128,7 @@
         Found::Contended(_) if goal == SearchGoal::UncontendedOnly => Err(AttemptEnd::NotAdmitted),
         Found::Contended(key) if is_refused_by_admission(node, request, key) => Err(AttemptEnd::NotAdmitted),
         Found::Contended(key) => Ok(key),
-        Found::Nothing(reason) => Err(AttemptEnd::NoUpstream(reason)),
+        Found::NoUpstream(reason) => Err(AttemptEnd::NoUpstream(reason)),
     }
 }
 
@@ -136,7 +136,7 @@
 /// waste the upstream's capacity.
 fn cannot_finish<A: PlatformAdapter>(node: &Node<A>, request: &CallerRequest, now_us: u64) -> bool {
     let left_ms = request.answer_deadline_us.saturating_sub(now_us) as f64 / US_PER_MS as f64;
-    node.dispatcher.route_times(&request.routed.route).cannot_finish(left_ms)
+    node.dispatcher.route_latencies(&request.routed.route).cannot_finish_within(left_ms)
 }
 
 fn unresponsive_after<A: PlatformAdapter>(
@@ -144,7 +144,7 @@
     request: &CallerRequest,
     snapshot: &UpstreamSnapshot,
 ) -> f64 {
-    let baseline_ms = node.dispatcher.route_times(&request.routed.route).baseline_ms();
+    let baseline_ms = node.dispatcher.route_latencies(&request.routed.route).baseline_ms();
     unresponsive_after_ms(baseline_ms, snapshot.cost)
 }
 
@@ -159,12 +159,12 @@
 ) {
     let now_us = node.now_us();
     let slowdown = (outcome == AttemptOutcome::Answered { failed: false }).then(|| {
-        let mut times = node.dispatcher.route_times(&request.routed.route);
+        let mut times = node.dispatcher.route_latencies(&request.routed.route);
         times.record_attempt(latency_ms, f64::from(snapshot.load_when_sent.expected_latency))
     });
     let mut pool = node.dispatcher.pool_mut();
     let Some(state) = pool.get_mut(key) else { return };
-    state.attempt_ended(outcome, now_us);
+    state.record_attempt(outcome, now_us);
     if let Some(slowdown) = slowdown {
         pool.record_latency(key, slowdown, &snapshot.load_when_sent, now_us);
     }
@@ -220,13 +220,13 @@
     let route = &request.routed.route;
     let estimate = FinishEstimate {
         elapsed_ms: request.elapsed_without_unsent_ms(snapshot.taken_at_us),
-        expected_ms: f64::from(snapshot.load_when_sent.expected_latency)
-            * node.dispatcher.route_times(route).baseline_ms(),
+        expected_latency_ms: f64::from(snapshot.load_when_sent.expected_latency)
+            * node.dispatcher.route_latencies(route).baseline_ms(),
         occupancy: f64::from(snapshot.load_when_sent.occupancy),
-        full_factor: node.dispatcher.pool().full_factor(&request.routed.service).into(),
+        full_slowdown: node.dispatcher.pool().full_slowdown(&request.routed.service).into(),
     };
-    let has_room = node.dispatcher.pool_mut().has_room(key, snapshot.taken_at_us);
-    let refused = !node.dispatcher.admission.admits(route, &estimate, has_room);
+    let has_capacity = node.dispatcher.pool_mut().has_capacity(key, snapshot.taken_at_us);
+    let refused = !node.dispatcher.admission.admits(route, &estimate, has_capacity);
     if refused {
         let load = snapshot.load();
         node.report.failure(snapshot.taken_at_us, || EventKind::RequestWouldBeLate {
@@ -237,7 +237,7 @@
             waiting: load.waiting,
             pace_percent: load.slowdown_percent,
             load_age_ms: snapshot.load_age_ms(),
-            expected_ms: estimate.expected_ms as u64,
+            expected_ms: estimate.expected_latency_ms as u64,
             spent_ms: estimate.elapsed_ms as u64,
         });
     }
--- a/crates/pointvane-node/src/dispatcher.rs
+++ b/crates/pointvane-node/src/dispatcher.rs
@@ -11,8 +11,8 @@
     },
     pointvane_dispatch::{
         AdmissionPolicy, BudgetLimits, NodeBudgets, PipelineLimits, Pool, Quarantine, QuarantineOptions,
-        Ranking, RankingOptions, RefusedBy, RetryBudget, RouteTable, RouteTimes, RoutedRequest, RoutingLog,
-        SearchOptions, WarmUpBound, retry_after_ms,
+        Ranking, RankingOptions, RefusedBy, RetryBudget, RouteLatencies, RouteTable, RoutedRequest,
+        RoutingLog, SearchOptions, WarmUpBound, retry_after_ms,
     },
     pointvane_mesh::rank,
     rand::{Rng, SeedableRng, rngs::SmallRng},
@@ -51,7 +51,7 @@
     routing_log: RefCell<RoutingLog>,
     pool: RefCell<Pool>,
     budgets: RefCell<NodeBudgets>,
-    route_times: RefCell<HashMap<Name, RouteTimes>>,
+    route_latencies: RefCell<HashMap<Name, RouteLatencies>>,
     rng: RefCell<SmallRng>,
 }
 
@@ -87,7 +87,7 @@
             routing_log: RefCell::default(),
             pool: RefCell::new(pool(policy, node, seeder.random())),
             budgets: RefCell::new(NodeBudgets::new(now_us)),
-            route_times: RefCell::default(),
+            route_latencies: RefCell::default(),
             rng: RefCell::new(SmallRng::from_rng(seeder)),
         }
     }
@@ -102,7 +102,7 @@
         let previous = self.routes();
         let is_newer = configuration.version > previous.version();
         if is_newer {
-            self.routing_log.borrow_mut().replaced(&previous.configuration(), &configuration);
+            self.routing_log.borrow_mut().add_replacement(&previous.configuration(), &configuration);
             self.activate(configuration);
         }
         is_newer
@@ -153,15 +153,15 @@
     }
 
     /// The measured times of a route.
-    pub fn route_times(&self, route: &RouteRule) -> RefMut<'_, RouteTimes> {
-        RefMut::map(self.route_times.borrow_mut(), |times| {
-            times.entry(route.name.clone()).or_insert_with(|| RouteTimes::new(route))
+    pub fn route_latencies(&self, route: &RouteRule) -> RefMut<'_, RouteLatencies> {
+        RefMut::map(self.route_latencies.borrow_mut(), |times| {
+            times.entry(route.name.clone()).or_insert_with(|| RouteLatencies::new(route))
         })
     }
 
     /// This node's share of a service's retry budget.
     pub fn retry_budget(&self, service: &Name, limits: &BudgetLimits) -> RefMut<'_, RetryBudget> {
-        RefMut::map(self.budgets.borrow_mut(), |budgets| budgets.retries(service, limits))
+        RefMut::map(self.budgets.borrow_mut(), |budgets| budgets.retry_budget(service, limits))
     }
 
     /// Takes a token of the probe budget; false if it is spent.
@@ -173,8 +173,8 @@
     pub fn share_budgets(&self, nodes: usize, limits: &BudgetLimits, warm_up: WarmUpBound, now_us: u64) {
         let upstreams = self.pool.borrow().len();
         let mut budgets = self.budgets.borrow_mut();
-        budgets.divide(nodes, upstreams, limits, now_us);
-        self.pool.borrow_mut().share_warm_up(warm_up, budgets.nodes(), now_us);
+        budgets.set_fleet_size(nodes, upstreams, limits, now_us);
+        self.pool.borrow_mut().set_warm_up_bound(warm_up, budgets.nodes(), now_us);
     }
 
     /// A uniformly random number from 0 to 1.
--- a/crates/pointvane-node/src/exchange.rs
+++ b/crates/pointvane-node/src/exchange.rs
@@ -16,7 +16,7 @@
         http::response::Parts,
     },
     pointvane_core::{PlatformAdapter, US_PER_MS},
-    pointvane_dispatch::{AttemptOutcome, Ineligible, Refusal, UpstreamKey},
+    pointvane_dispatch::{AttemptOutcome, Ineligible, NotRunReason, UpstreamKey},
     std::rc::Rc,
 };
 
@@ -187,9 +187,9 @@
         connection.keep(&head.headers);
     }
     AttemptOutcome::NotRun(match head.status {
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Refusal::Busy,
-        StatusCode::MISDIRECTED_REQUEST => Refusal::Misdirected,
-        _ => Refusal::Other,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => NotRunReason::Busy,
+        StatusCode::MISDIRECTED_REQUEST => NotRunReason::Misdirected,
+        _ => NotRunReason::Other,
     })
 }
 
--- a/crates/pointvane-node/src/fleet.rs
+++ b/crates/pointvane-node/src/fleet.rs
@@ -119,7 +119,7 @@
 
     /// Number of nodes that take turns at calling the platform, this one included; 1 while this node is
     /// isolated.
-    pub fn reached_nodes(&self, now_us: u64) -> usize {
+    pub fn reachable_nodes(&self, now_us: u64) -> usize {
         if self.is_isolated(now_us) { 1 } else { self.size() }
     }
 
@@ -195,7 +195,7 @@
         if new {
             let revision = datagram.relay.mark().revision;
             let sender = Broadcaster { address: datagram.origin, revision, received_at_us: now_us };
-            self.broadcaster.set(Some(sender.or_better(self.broadcaster.get())));
+            self.broadcaster.set(Some(sender.most_advanced(self.broadcaster.get())));
         }
         new
     }
@@ -217,7 +217,7 @@
         let others = membership.rows().skip(1).filter(|row| row.state != VmState::Dead);
         let others = others.filter(|row| row.control_address() != origin);
         let peers = others.map(|row| OrderedNode {
-            hash: relay_position(&row.identity),
+            position: relay_position(&row.identity),
             node: SocketAddr::new(row.identity.address, row.control_port + port_offset),
         });
         let own = relay_position(&membership.me().identity);
--- a/crates/pointvane-node/src/fleet/limit_peers.rs
+++ b/crates/pointvane-node/src/fleet/limit_peers.rs
@@ -3,7 +3,7 @@
 use {
     super::Fleet,
     pointvane_core::{LimitRank, Name, VmState},
-    pointvane_dispatch::{FleetContact, Forwarder, Segment},
+    pointvane_dispatch::{FleetView, Forwarder, Segment},
     pointvane_mesh::{MemberRow, rank},
     std::net::SocketAddr,
 };
@@ -23,8 +23,8 @@
     /// All nodes compute the same order by rendezvous hashing; nodes that are shutting down are excluded.
     /// Until a node has discovered the others, it assumes the last position in a fleet of maximum size, so
     /// that the limit holds even if all nodes start at the same time.
-    pub fn limit_rank(&self, upstream: &Name, contact: FleetContact, running_ms: u64) -> LimitRank {
-        let has_others = contact.nodes != Some(1);
+    pub fn limit_rank(&self, upstream: &Name, fleet_view: FleetView, running_ms: u64) -> LimitRank {
+        let has_others = fleet_view.nodes != Some(1);
         if has_others && running_ms < DISCOVERY_MS {
             return LimitRank::last_of(NODES_MAX);
         }
@@ -37,7 +37,7 @@
         LimitRank {
             rank: limit_rank,
             processes: others().count() + 1,
-            reachable_share: contact.reachable_share,
+            reachable_share: fleet_view.reachable_share,
         }
     }
 
--- a/crates/pointvane-node/src/fleet/quarantine_peers.rs
+++ b/crates/pointvane-node/src/fleet/quarantine_peers.rs
@@ -3,7 +3,7 @@
 use {
     super::Fleet,
     pointvane_core::VmState,
-    pointvane_dispatch::{HeadFingerprint, TrialTurn},
+    pointvane_dispatch::{HeadFingerprint, TrialPosition},
     pointvane_mesh::{MemberRow, rank},
     rand::seq::IteratorRandom,
     std::net::SocketAddr,
@@ -28,11 +28,11 @@
 
     /// This node's position in the order of the nodes that may retry a request after its quarantine. It is
     /// the same for all queries and bodies of a request.
-    pub fn trial_turn(&self, request: HeadFingerprint) -> TrialTurn {
+    pub fn trial_position(&self, request: HeadFingerprint) -> TrialPosition {
         let membership = self.membership.borrow();
         let position = rank(&request.to_string(), &membership.me().identity.name) as f64 / u64::MAX as f64;
         let nodes = membership.rows().filter(|row| row.state != VmState::Dead).count();
-        TrialTurn { position, nodes }
+        TrialPosition { position, nodes }
     }
 
     /// Schedules pulls of the full quarantine state from the next round on, since this node may have missed
--- a/crates/pointvane-node/src/fleet/query_peers.rs
+++ b/crates/pointvane-node/src/fleet/query_peers.rs
@@ -58,7 +58,7 @@
         let peers = live.map(|row| QueryCandidate {
             node: row.control_address(),
             position: position(&row.identity.name),
-            near: row.identity.data_centre == me.data_centre,
+            same_data_centre: row.identity.data_centre == me.data_centre,
         });
         earlier_peer(position(&me.name), peers, &mut self.rng.borrow_mut())
     }
--- a/crates/pointvane-node/src/fleet/quota_peers.rs
+++ b/crates/pointvane-node/src/fleet/quota_peers.rs
@@ -4,7 +4,7 @@
     super::Fleet,
     crate::settings::NodeSettings,
     pointvane_core::{Name, US_PER_MS, VmState},
-    pointvane_dispatch::{FleetContact, Forwarder, Segment},
+    pointvane_dispatch::{FleetView, Forwarder, Segment},
     pointvane_mesh::{MemberRow, rank},
     std::{cmp::Reverse, net::SocketAddr},
 };
@@ -36,11 +36,11 @@
 impl Fleet {
     /// This node's view of the fleet. Dead nodes that did not shut down gracefully are counted, since they
     /// may be alive on the other side of a network partition.
-    pub fn contact(&self, settings: &NodeSettings, now_us: u64) -> FleetContact {
+    pub fn view(&self, settings: &NodeSettings, now_us: u64) -> FleetView {
         let has_others = settings.seeds.iter().any(|seed| *seed != settings.gossip);
         if !self.received_any_datagram.get() {
             let nodes = (!has_others).then_some(1);
-            return FleetContact { connected: !has_others, nodes, reachable_share: 1.0 };
+            return FleetView { connected: !has_others, nodes, reachable_share: 1.0 };
         }
         let membership = self.membership.borrow();
         let has_left =
@@ -48,7 +48,7 @@
         let remaining = || membership.rows().filter(|row| !has_left(row));
         let reached = remaining().filter(|row| row.state != VmState::Dead).count().max(1);
         let nodes = remaining().count().max(1);
-        FleetContact {
+        FleetView {
             connected: !self.is_isolated(now_us),
             nodes: Some(nodes),
             reachable_share: reached as f64 / nodes as f64,
--- a/crates/pointvane-node/src/forward.rs
+++ b/crates/pointvane-node/src/forward.rs
@@ -13,7 +13,7 @@
     pointvane_core::{ErrorKind, HedgeSchedule, PlatformAdapter, US_PER_MS},
     pointvane_dispatch::{
         NextStep, RefusedBy, RequestAttempts, RetryBudget, SearchGoal, WithheldService, hedge_goal,
-        may_pass_on, search_time_ms,
+        may_relay, search_time_ms,
     },
     std::{cell::RefMut, rc::Rc, time::Duration},
     tokio::{
@@ -47,7 +47,7 @@
     let answer = forward.run(started_at_us).await;
     if answer.as_ref().is_ok_and(|response| response.status().is_success()) {
         let time_ms = forward.node.now_us().saturating_sub(started_at_us) as f64 / US_PER_MS as f64;
-        forward.node.dispatcher.route_times(&request.routed.route).record_answer(time_ms);
+        forward.node.dispatcher.route_latencies(&request.routed.route).record_answer(time_ms);
     }
     answer
 }
@@ -70,12 +70,12 @@
                     // After a panic in an attempt it is unknown whether its upstream ran the request.
                     let Some(Ok(result)) = ended else { return Err(ErrorKind::UpstreamBroken.into()) };
                     self.answer = result.answer.or(self.answer.take());
-                    attempts.streamed_body_left(request.stream.borrow().is_some());
-                    attempts.ended(result.end, request.sends.get(), &mut self.retry_budget())
+                    attempts.set_streamed_body_unsent(request.stream.borrow().is_some());
+                    attempts.attempt_ended(result.end, request.sends.get(), &mut self.retry_budget())
                 }
                 () = sleep_until(hedge_at.unwrap_or(deadline)), if hedge_at.is_some() => {
                     hedges.iter_mut().for_each(HedgeSchedule::record_attempt);
-                    attempts.hedge_due(request.sends.get(), &mut self.retry_budget())
+                    attempts.try_hedge(request.sends.get(), &mut self.retry_budget())
                 }
                 () = sleep_until(deadline) => attempts.deadline_passed(),
             };
@@ -125,7 +125,7 @@
     /// When hedges are considered; none if hedging is disabled or the route has no hedge time.
     fn hedge_schedule(&self) -> Option<HedgeSchedule> {
         let route = &self.request.routed.route;
-        let after_ms = self.node.dispatcher.route_times(route).hedge_after_ms(route)?;
+        let after_ms = self.node.dispatcher.route_latencies(route).hedge_after_ms(route)?;
         self.node.dispatcher.hedges.then(|| HedgeSchedule::new(after_ms))
     }
 
@@ -136,7 +136,7 @@
 
     fn deliver(&mut self) -> FinalAnswer {
         let kind = self.request.routed.route.kind;
-        let answer = self.answer.take().filter(|answer| may_pass_on(kind, answer.status().as_u16()));
+        let answer = self.answer.take().filter(|answer| may_relay(kind, answer.status().as_u16()));
         answer.ok_or_else(|| ErrorKind::UpstreamBroken.into())
     }
 
--- a/crates/pointvane-node/src/gossip_loop.rs
+++ b/crates/pointvane-node/src/gossip_loop.rs
@@ -43,7 +43,7 @@
     fn compare_with_peers(&self) {
         let (role, latest) = (self.fleet.reader_role(), self.fleet.latest_revision());
         let now_us = self.now_us();
-        self.platform.state_mut().set_reached_nodes(self.fleet.reached_nodes(now_us));
+        self.platform.state_mut().set_reachable_nodes(self.fleet.reachable_nodes(now_us));
         self.platform.state_mut().compare_with_peers(role, latest, now_us);
         self.platform.notify_if_behind();
     }
@@ -61,7 +61,7 @@
         let actions = node.fleet.tick(node.platform.mark().revision, node.now_us());
         node.perform(actions);
         node.compare_with_peers();
-        node.forget_expired();
+        node.remove_expired();
     }
 }
 
--- a/crates/pointvane-node/src/in_flight.rs
+++ b/crates/pointvane-node/src/in_flight.rs
@@ -54,7 +54,7 @@
         if now_us < self.unresponsive_at_us {
             return;
         }
-        state.was_unresponsive(now_us);
+        state.record_unresponsive(now_us);
         self.node.dispatcher.connections.discard(state.address());
         self.node.report.failure(now_us, || EventKind::AttemptGivenUp {
             request: self.request.id.clone(),
--- a/crates/pointvane-node/src/limit_loop.rs
+++ b/crates/pointvane-node/src/limit_loop.rs
@@ -26,7 +26,7 @@
 
 /// The inputs from which this node's share of a limit is computed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct PlaceInputs {
+struct RankInputs {
     /// [`Fleet::membership_changes`](crate::fleet::Fleet::membership_changes) at the time of the computation.
     membership_changes: u64,
     per_1000_s: Option<u32>,
@@ -47,22 +47,22 @@
             }
             let expired = node.dispatcher.pool_mut().expire_limits(node.now_us());
             expired.into_iter().for_each(|(key, change)| node.note_limit(key, change));
-            update_places(node, &mut inputs_by_upstream);
+            update_ranks(node, &mut inputs_by_upstream);
             send_announcements(node);
         }
     }
 }
 
 /// Recomputes this node's share of each limit whose inputs have changed.
-fn update_places<A: PlatformAdapter>(
+fn update_ranks<A: PlatformAdapter>(
     node: &Node<A>,
-    inputs_by_upstream: &mut HashMap<UpstreamKey, PlaceInputs>,
+    inputs_by_upstream: &mut HashMap<UpstreamKey, RankInputs>,
 ) {
     let now_us = node.now_us();
     let limited = node.dispatcher.pool().limited();
     inputs_by_upstream.retain(|key, _| limited.contains(key));
     for key in limited {
-        let Some(inputs) = place_inputs(node, key, now_us) else { continue };
+        let Some(inputs) = rank_inputs(node, key, now_us) else { continue };
         if inputs_by_upstream.insert(key, inputs) != Some(inputs) {
             node.dispatcher.pool_mut().set_limit_rank(key, inputs.rank, now_us);
         }
@@ -72,17 +72,17 @@
 /// Recomputes this node's share of one limit unconditionally.
 pub fn update_limit_rank<A: PlatformAdapter>(node: &Node<A>, key: UpstreamKey) {
     let now_us = node.now_us();
-    if let Some(inputs) = place_inputs(node, key, now_us) {
+    if let Some(inputs) = rank_inputs(node, key, now_us) {
         node.dispatcher.pool_mut().set_limit_rank(key, inputs.rank, now_us);
     }
 }
 
-fn place_inputs<A: PlatformAdapter>(node: &Node<A>, key: UpstreamKey, now_us: u64) -> Option<PlaceInputs> {
+fn rank_inputs<A: PlatformAdapter>(node: &Node<A>, key: UpstreamKey, now_us: u64) -> Option<RankInputs> {
     let pool = node.dispatcher.pool();
     let state = pool.get(key)?;
-    let contact = node.fleet.contact(&node.settings(), now_us);
-    let rank = || node.fleet.limit_rank(state.id(), contact, node.running_ms());
-    Some(PlaceInputs {
+    let fleet_view = node.fleet.view(&node.settings(), now_us);
+    let rank = || node.fleet.limit_rank(state.id(), fleet_view, node.uptime_ms());
+    Some(RankInputs {
         membership_changes: node.fleet.membership_changes(),
         per_1000_s: state.limit().per_1000_s(),
         doublings: state.limit().doublings(now_us),
--- a/crates/pointvane-node/src/node.rs
+++ b/crates/pointvane-node/src/node.rs
@@ -72,7 +72,7 @@
     }
 
     /// Time since the start of this process, in milliseconds.
-    pub fn running_ms(&self) -> u64 {
+    pub fn uptime_ms(&self) -> u64 {
         self.clock.since_start_ms()
     }
 
--- a/crates/pointvane-node/src/pipeline.rs
+++ b/crates/pointvane-node/src/pipeline.rs
@@ -3,7 +3,7 @@
 //!
 //! `read_ahead.rs` reports each head that it has read, and passes one request at a time to the HTTP server,
 //! which parses it again and keeps responses in order. `caller_connection.rs` serves that request, with the
-//! response of its early forward if there is one. [`pointvane_dispatch::starts_early`] decides which requests
+//! response of its early forward if there is one. [`pointvane_dispatch::may_forward_early`] decides which requests
 //! are forwarded early.
 
 use {
@@ -16,7 +16,7 @@
     bytes::Bytes,
     hyper::{HeaderMap, Method, Response, Uri, http::request::Parts},
     pointvane_core::{PlatformAdapter, RouteKind},
-    pointvane_dispatch::starts_early,
+    pointvane_dispatch::may_forward_early,
     std::{
         cell::{Cell, RefCell},
         collections::VecDeque,
@@ -164,7 +164,7 @@
                 continue;
             }
             let Some((head, kind)) = self.routable(request) else { return };
-            if !starts_early(kind, preceding.iter().copied(), &self.node.dispatcher.pipeline) {
+            if !may_forward_early(kind, preceding.iter().copied(), &self.node.dispatcher.pipeline) {
                 return;
             }
             // The oldest request is served without delay anyway.
--- a/crates/pointvane-node/src/probe.rs
+++ b/crates/pointvane-node/src/probe.rs
@@ -77,7 +77,7 @@
             break;
         };
         waiting -= 1;
-        if search.answered(key, &node.dispatcher.pool(), node.now_us()) {
+        if search.record_probe_response(key, &node.dispatcher.pool(), node.now_us()) {
             return Some(key);
         }
     }
@@ -110,7 +110,7 @@
     if let Some(outcome) = outcome
         && let Some(state) = node.dispatcher.pool_mut().get_mut(key)
     {
-        state.probe_ended(outcome, node.now_us());
+        state.record_probe(outcome, node.now_us());
     }
     node.dispatcher.probes.end(key, outcome == Some(ProbeOutcome::Healthy));
 }
@@ -130,9 +130,9 @@
             let time_us = node.now_us().saturating_sub(sent_at_us);
             read_answer(node, key, &id, &answer, time_us)
         }
-        Err(NoAnswer::KeptConnectionSilent) => {
+        Err(NoAnswer::ReusedConnectionSilent) => {
             connections.discard(address);
-            ProbeOutcome::KeptConnectionSilent
+            ProbeOutcome::ReusedConnectionSilent
         }
         Err(NoAnswer::Other) => {
             let waited_us = node.now_us().saturating_sub(sent_at_us);
@@ -170,7 +170,7 @@
 /// Why a probe has no response.
 enum NoAnswer {
     /// No response within the timeout on a reused connection.
-    KeptConnectionSilent,
+    ReusedConnectionSilent,
     /// Timeout on a new connection, or a broken connection; ejection counts both the same.
     Other,
 }
@@ -189,7 +189,7 @@
     match timeout_at(deadline, request_health_over(connection, address, path)).await {
         Ok(Some(answer)) => return Ok(answer),
         Ok(None) if reused => {}
-        Err(_) if reused => return Err(NoAnswer::KeptConnectionSilent),
+        Err(_) if reused => return Err(NoAnswer::ReusedConnectionSilent),
         Ok(None) | Err(_) => return Err(NoAnswer::Other),
     }
     let retry = async {
--- a/crates/pointvane-node/src/quarantine.rs
+++ b/crates/pointvane-node/src/quarantine.rs
@@ -14,10 +14,10 @@
         if !self.may_have_record(request) {
             return false;
         }
-        let turn = self.fleet.trial_turn(request.head_fingerprint());
+        let trial_position = self.fleet.trial_position(request.head_fingerprint());
         let (quarantine, now_us) = (self.dispatcher.quarantine(), self.now_us());
         let fingerprints = request.fingerprints().all();
-        fingerprints.iter().any(|fingerprint| quarantine.refuses(fingerprint, &turn, now_us))
+        fingerprints.iter().any(|fingerprint| quarantine.refuses(fingerprint, &trial_position, now_us))
     }
 
     /// Records that a request is about to be sent. Returns false, and records nothing, if it is quarantined.
@@ -51,11 +51,14 @@
             AttemptOutcome::Crashed => {
                 let mut quarantine = self.dispatcher.quarantine();
                 let fingerprints = request.fingerprints().all();
-                fingerprints.map(|fingerprint| quarantine.crashed(fingerprint, began_at_us, ended_at_us))
+                fingerprints.map(|fingerprint| quarantine.record_crash(fingerprint, began_at_us, ended_at_us))
             }
             AttemptOutcome::Answered { failed: false } if self.may_have_record(request) => {
                 let mut quarantine = self.dispatcher.quarantine();
-                request.fingerprints().all().map(|fingerprint| quarantine.survived(fingerprint, ended_at_us))
+                request
+                    .fingerprints()
+                    .all()
+                    .map(|fingerprint| quarantine.record_success(fingerprint, ended_at_us))
             }
             _ => return,
         };
@@ -84,6 +87,6 @@
     /// Whether the quarantine may hold a record of a request. Inexpensive while no upstream crashes: the
     /// fingerprint is then not computed.
     fn may_have_record(&self, request: &CallerRequest) -> bool {
-        self.dispatcher.quarantine().may_know(|| request.head_fingerprint())
+        self.dispatcher.quarantine().tracks_head(|| request.head_fingerprint())
     }
 }
--- a/crates/pointvane-node/src/quarantine_loop.rs
+++ b/crates/pointvane-node/src/quarantine_loop.rs
@@ -7,7 +7,7 @@
 use {
     crate::{fleet::Fleet, node::Node},
     pointvane_core::{PlatformAdapter, US_PER_MS},
-    pointvane_dispatch::{DIRECT_MAX, FAN_OUT, NewsBudget, QuarantineMessage, SuspectNews},
+    pointvane_dispatch::{BroadcastBudget, DIRECT_SEND_MAX, FAN_OUT, QuarantineMessage, SuspectReport},
     pointvane_mesh::codec,
     std::{net::SocketAddr, rc::Rc, time::Duration},
     tokio::{
@@ -51,7 +51,7 @@
         }
         previous_round_us = now_us;
         pull(&node.fleet);
-        let updates = node.dispatcher.quarantine().take_round(now_us);
+        let updates = node.dispatcher.quarantine().take_gossip_round(now_us);
         send(&node.fleet, updates, ROUND_PEERS);
         round += 1;
         if round.is_multiple_of(ROUNDS_PER_PAGE) {
@@ -65,12 +65,12 @@
 /// Broadcasts this node's own observations: to all other nodes of a small fleet, to a random sample of a
 /// large one, and to no more than the traffic budget allows.
 async fn send_broadcasts<A: PlatformAdapter>(node: &Node<A>) {
-    let mut budget = NewsBudget::new(node.now_us());
+    let mut budget = BroadcastBudget::new(node.now_us());
     loop {
         node.quarantine_updates.notified().await;
         let next_broadcast_at = Instant::now() + BROADCAST_INTERVAL_MIN;
         loop {
-            let updates = node.dispatcher.quarantine().take_urgent(node.now_us());
+            let updates = node.dispatcher.quarantine().take_broadcast(node.now_us());
             if updates.is_empty() {
                 break;
             }
@@ -80,10 +80,10 @@
     }
 }
 
-fn broadcast<A: PlatformAdapter>(node: &Node<A>, updates: Vec<SuspectNews>, budget: &mut NewsBudget) {
+fn broadcast<A: PlatformAdapter>(node: &Node<A>, updates: Vec<SuspectReport>, budget: &mut BroadcastBudget) {
     let others = node.fleet.size() - 1;
-    let peers_wanted = if others <= DIRECT_MAX { others } else { FAN_OUT };
-    let Some(bytes) = encode(&QuarantineMessage::News(updates)) else { return };
+    let peers_wanted = if others <= DIRECT_SEND_MAX { others } else { FAN_OUT };
+    let Some(bytes) = encode(&QuarantineMessage::Reports(updates)) else { return };
     let peers = budget.take(bytes.len() + codec::UDP_HEAD_BYTES, peers_wanted, node.now_us());
     for peer in node.fleet.sample_quarantine_peers(peers) {
         node.fleet.send_quarantine_update(&bytes, peer);
@@ -97,19 +97,19 @@
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
         let Ok(message) = codec::decode::<QuarantineMessage>(&buffer[..length]) else { continue };
         match message {
-            QuarantineMessage::News(updates) => {
+            QuarantineMessage::Reports(updates) => {
                 let changes = node.dispatcher.quarantine().receive(&updates, node.now_us());
                 node.note_quarantine(changes);
             }
             QuarantineMessage::Pull => answer_pull(node, from),
-            QuarantineMessage::Pulled => node.fleet.record_pull_answer(),
+            QuarantineMessage::PullComplete => node.fleet.record_pull_answer(),
         }
     }
 }
 
 fn answer_pull<A: PlatformAdapter>(node: &Node<A>, to: SocketAddr) {
     let pages = node.dispatcher.quarantine().pages_for_pull(node.now_us());
-    let messages = pages.into_iter().map(QuarantineMessage::News).chain([QuarantineMessage::Pulled]);
+    let messages = pages.into_iter().map(QuarantineMessage::Reports).chain([QuarantineMessage::PullComplete]);
     messages.for_each(|message| send_to(&node.fleet, &message, to));
 }
 
@@ -122,11 +122,11 @@
     }
 }
 
-fn send(fleet: &Fleet, updates: Vec<SuspectNews>, peers: usize) {
+fn send(fleet: &Fleet, updates: Vec<SuspectReport>, peers: usize) {
     if updates.is_empty() {
         return;
     }
-    let message = QuarantineMessage::News(updates);
+    let message = QuarantineMessage::Reports(updates);
     for peer in fleet.sample_quarantine_peers(peers) {
         send_to(fleet, &message, peer);
     }
--- a/crates/pointvane-node/src/quota.rs
+++ b/crates/pointvane-node/src/quota.rs
@@ -4,7 +4,7 @@
 use {
     crate::settings::NodeLimits,
     pointvane_core::{Name, Quota},
-    pointvane_dispatch::{FleetContact, QuotaDecision, Quotas},
+    pointvane_dispatch::{FleetView, QuotaDecision, Quotas},
     std::{
         cell::{Cell, RefCell, RefMut},
         rc::Rc,
@@ -31,11 +31,11 @@
         &self,
         account: &Name,
         quota: Quota,
-        contact: FleetContact,
+        fleet_view: FleetView,
         now_us: u64,
         draw: f32,
     ) -> QuotaDecision {
-        self.borrow_mut().admit(account, quota, contact, now_us, draw)
+        self.borrow_mut().admit(account, quota, fleet_view, now_us, draw)
     }
 }
 
@@ -63,7 +63,7 @@
 impl Drop for QuotaCharge {
     fn drop(&mut self) {
         if !self.spent.get() {
-            self.quotas.borrow_mut().give_back(&self.account, self.admitted_at_us);
+            self.quotas.borrow_mut().refund(&self.account, self.admitted_at_us);
         }
     }
 }
--- a/crates/pointvane-node/src/quota_loop.rs
+++ b/crates/pointvane-node/src/quota_loop.rs
@@ -10,7 +10,9 @@
         quota::SharedQuotas,
     },
     pointvane_core::{Name, PlatformAdapter},
-    pointvane_dispatch::{ACCOUNTS_MAX, AccountShare, AccountUsage, Forwarder, QuotaMessage, Segment},
+    pointvane_dispatch::{
+        ACCOUNTS_PER_DATAGRAM_MAX, AccountShare, AccountUsage, Forwarder, QuotaMessage, Segment,
+    },
     pointvane_mesh::codec,
     std::{collections::HashMap, mem, net::SocketAddr, rc::Rc, time::Duration},
     tokio::{
@@ -56,13 +58,13 @@
         let Ok(message) = codec::decode::<QuotaMessage>(&buffer[..length]) else { continue };
         match message {
             QuotaMessage::Heartbeat { origin, wants_reply } => {
-                let is_peer = node.dispatcher.quotas.borrow_mut().heard(origin, node.now_us());
+                let is_peer = node.dispatcher.quotas.borrow_mut().record_message(origin, node.now_us());
                 if wants_reply && !is_peer {
                     send_to(node, &heartbeat(node, false), origin);
                 }
             }
-            QuotaMessage::Usage { life, accounts } => {
-                let shares = coordinate(node, (from, life), &accounts);
+            QuotaMessage::Usage { incarnation, accounts } => {
+                let shares = coordinate(node, (from, incarnation), &accounts);
                 send_to(node, &shares_message(node, Segment::NONE, shares), from);
             }
             QuotaMessage::Shares { origin, segment, accounts } => {
@@ -89,13 +91,13 @@
             return;
         }
         self.as_of = fleet.membership_changes();
-        quotas.borrow_mut().forget_peers();
+        quotas.borrow_mut().reset_peers();
         let accounts: Vec<Name> = quotas.borrow_mut().accounts().cloned().collect();
         let previous = mem::take(&mut self.by_account);
         for account in accounts {
             let current = fleet.coordinators(&account);
             if previous.get(&account) != Some(&current) {
-                quotas.borrow_mut().report_again(&account);
+                quotas.borrow_mut().force_report(&account);
             }
             self.by_account.insert(account, current);
         }
@@ -112,7 +114,7 @@
 }
 
 fn send_heartbeats<A: PlatformAdapter>(node: &Node<A>) {
-    let due = node.dispatcher.quotas.borrow_mut().take_heartbeats(node.now_us());
+    let due = node.dispatcher.quotas.borrow_mut().take_due_heartbeats(node.now_us());
     due.into_iter().for_each(|peer| send_to(node, &heartbeat(node, true), peer));
 }
 
@@ -133,15 +135,15 @@
             }
         }
     }
-    let life = node.fleet.incarnation().0;
+    let incarnation = node.fleet.incarnation().0;
     for (address, usages) in by_node {
-        for accounts in usages.chunks(ACCOUNTS_MAX) {
-            send_to(node, &QuotaMessage::Usage { life, accounts: accounts.to_vec() }, address);
+        for accounts in usages.chunks(ACCOUNTS_PER_DATAGRAM_MAX) {
+            send_to(node, &QuotaMessage::Usage { incarnation, accounts: accounts.to_vec() }, address);
         }
     }
     if !own_usages.is_empty() {
         let address = node.settings().gossip;
-        let shares = coordinate(node, (address, life), &own_usages);
+        let shares = coordinate(node, (address, incarnation), &own_usages);
         node.dispatcher.quotas.borrow_mut().receive_shares(address, &shares, node.now_us());
     }
 }
@@ -154,13 +156,13 @@
     usages: &[AccountUsage],
 ) -> Vec<AccountShare> {
     let now_us = node.now_us();
-    let contact = node.fleet.contact(&node.settings(), now_us);
+    let fleet_view = node.fleet.view(&node.settings(), now_us);
     let routes = node.dispatcher.routes();
     let mut quotas = node.dispatcher.quotas.borrow_mut();
     let share = |usage: &AccountUsage| {
         // An account that is not in this node's configuration is left to the other coordinator.
         let quota = routes.quota(&usage.account)?;
-        quotas.coordinate(reporter, usage, quota, contact, now_us)
+        quotas.coordinate(reporter, usage, quota, fleet_view, now_us)
     };
     let shares = usages.iter().filter_map(share).collect();
     node.quotas_used.notify_one();
@@ -170,11 +172,11 @@
 /// Broadcasts the shares that are due to all nodes.
 fn broadcast<A: PlatformAdapter>(node: &Node<A>) {
     let now_us = node.now_us();
-    let contact = node.fleet.contact(&node.settings(), now_us);
-    let shares = node.dispatcher.quotas.borrow_mut().take_broadcast(contact, now_us);
+    let fleet_view = node.fleet.view(&node.settings(), now_us);
+    let shares = node.dispatcher.quotas.borrow_mut().take_broadcast(fleet_view, now_us);
     let origin = node.settings().gossip;
     node.dispatcher.quotas.borrow_mut().receive_shares(origin, &shares, now_us);
-    for accounts in shares.chunks(ACCOUNTS_MAX) {
+    for accounts in shares.chunks(ACCOUNTS_PER_DATAGRAM_MAX) {
         forward(node, origin, Segment::ALL, accounts);
     }
 }
--- a/crates/pointvane-node/src/replica/platform_client.rs
+++ b/crates/pointvane-node/src/replica/platform_client.rs
@@ -58,7 +58,7 @@
     /// No response head arrived in time, or the connection failed before it.
     NoAnswer,
     /// The response body was truncated or did not complete in time.
-    BrokenOff,
+    Truncated,
     /// The response body exceeds the caller's size limit.
     TooLong,
     /// The platform responded with an error status.
@@ -75,7 +75,7 @@
         match self {
             Self::Unreachable => "unreachable",
             Self::NoAnswer => "no-answer",
-            Self::BrokenOff => "broken-off",
+            Self::Truncated => "broken-off",
             Self::TooLong => "too-long",
             Self::Refused => "refused",
             Self::HistoryGone => "history-gone",
@@ -87,8 +87,8 @@
     pub const fn failure(self) -> CallFailure {
         match self {
             Self::Unreachable | Self::NoAnswer | Self::Refused => CallFailure::Unavailable,
-            Self::BrokenOff => CallFailure::BrokenOff,
-            Self::TooLong => CallFailure::LongerThanState,
+            Self::Truncated => CallFailure::Truncated,
+            Self::TooLong => CallFailure::ExceedsSnapshotSize,
             Self::HistoryGone => CallFailure::HistoryGone,
             Self::Malformed => CallFailure::Malformed,
         }
@@ -139,7 +139,7 @@
     /// Returns a [`CallError`] if the body is too long or incomplete, or the status is not 200.
     pub async fn read(&mut self, answer: PlatformAnswer, bytes_max: usize) -> Result<Bytes, CallError> {
         let body = timeout(TRANSFER_TIMEOUT, read_body(answer.body, bytes_max)).await;
-        let body = body.map_err(|_| CallError::BrokenOff)??;
+        let body = body.map_err(|_| CallError::Truncated)??;
         self.connection = Some(answer.connection);
         match answer.status {
             StatusCode::OK => Ok(body),
@@ -162,10 +162,10 @@
     }
     let mut bytes = BytesMut::new();
     loop {
-        let frame = timeout(PROGRESS_TIMEOUT, body.frame()).await.map_err(|_| CallError::BrokenOff)?;
+        let frame = timeout(PROGRESS_TIMEOUT, body.frame()).await.map_err(|_| CallError::Truncated)?;
         let Some(frame) = frame else { return Ok(bytes.freeze()) };
         // Trailers are ignored.
-        let Ok(chunk) = frame.map_err(|_| CallError::BrokenOff)?.into_data() else { continue };
+        let Ok(chunk) = frame.map_err(|_| CallError::Truncated)?.into_data() else { continue };
         if bytes.len() + chunk.len() > bytes_max {
             return Err(CallError::TooLong);
         }
--- a/crates/pointvane-node/src/replica/platform_reader.rs
+++ b/crates/pointvane-node/src/replica/platform_reader.rs
@@ -110,7 +110,7 @@
             let (mut state, now_us) = (node.platform.state_mut(), node.now_us());
             return match error {
                 QueryError::NothingNewer => state.query_declined(now_us),
-                QueryError::Reading => state.query_found_reader(now_us),
+                QueryError::Reading => state.query_found_reading_peer(now_us),
                 QueryError::NoPeer | QueryError::Unreachable | QueryError::NoAnswer => {
                     state.query_failed(now_us)
                 }
@@ -120,7 +120,7 @@
     let (revision, age_ms) = (reply.mark.revision, reply.age_ms);
     let changes = {
         let pool = node.dispatcher.pool();
-        node.platform.state_mut().receive_state(reply, pool.known(), node.now_us())
+        node.platform.state_mut().receive_state(reply, pool.known_changes(), node.now_us())
     };
     if !changes.is_empty() {
         node.report.note(EventKind::StateTold { peer, revision, age_ms });
@@ -148,7 +148,7 @@
     let first_read = node.platform.mark().revision == 0;
     let answer = match call(node, client, target, call_timeout).await {
         Ok(answer) => {
-            node.platform.state_mut().answer_began(node.now_us());
+            node.platform.state_mut().response_started(node.now_us());
             client.read(answer, PAGE_BYTES_MAX).await
         }
         Err(error) => Err(error),
@@ -156,7 +156,7 @@
     let Some(page) = decode_page(node, client, answer, A::snapshot) else { return };
     let changes = {
         let pool = node.dispatcher.pool();
-        node.platform.state_mut().page_read(page, pool.listed(), node.now_us())
+        node.platform.state_mut().receive_page(page, pool.listed_changes(), node.now_us())
     };
     let mark = node.platform.mark();
     if mark.revision > 0 {
@@ -197,13 +197,13 @@
     };
     let answer = match answer {
         Ok(answer) => {
-            node.platform.state_mut().answer_began(node.now_us());
+            node.platform.state_mut().response_started(node.now_us());
             client.read(answer, answer_bytes_max).await
         }
         Err(error) => Err(error),
     };
     let Some(page) = decode_page(node, client, answer, A::changes) else { return };
-    let changes = node.platform.state_mut().watch_answered(page, node.now_us());
+    let changes = node.platform.state_mut().receive_watch_response(page, node.now_us());
     node.apply(changes);
     if node.platform.state().broadcasts() {
         node.send_relay();
@@ -230,7 +230,7 @@
 ) -> Option<ChangePage> {
     // The parse error is dropped: in any case the reader reads everything again, which the event log shows.
     let page = answer.and_then(|body| {
-        node.platform.state_mut().answer_came(body.len());
+        node.platform.state_mut().response_received(body.len());
         decode(&node.adapter, &body).map_err(|_| CallError::Malformed)
     });
     match page {
--- a/crates/pointvane-node/src/replica/platform_state.rs
+++ b/crates/pointvane-node/src/replica/platform_state.rs
@@ -4,7 +4,7 @@
 
 use {
     crate::settings::NodeSettings,
-    pointvane_dispatch::{PlatformReader, ReadMark, ReaderOptions, WholeStateLimit},
+    pointvane_dispatch::{FullStateLimit, PlatformReader, ReadMark, ReaderOptions},
     std::{
         cell::{Ref, RefCell, RefMut},
         rc::{Rc, Weak},
@@ -30,7 +30,7 @@
     behind: Notify,
     /// Notified when the configuration and the upstreams have been read, so that held requests can proceed.
     state_known: Notify,
-    full_state_limit: RefCell<WholeStateLimit>,
+    full_state_limit: RefCell<FullStateLimit>,
     shared_answer: RefCell<SharedAnswer>,
 }
 
@@ -48,7 +48,7 @@
 /// permit is dropped.
 #[derive(Debug)]
 pub struct AnswerPermit<'s> {
-    limit: Option<&'s RefCell<WholeStateLimit>>,
+    limit: Option<&'s RefCell<FullStateLimit>>,
 }
 
 impl Drop for AnswerPermit<'_> {
@@ -135,7 +135,7 @@
     pub async fn interrupted(&self) {
         loop {
             self.behind.notified().await;
-            if self.reader.borrow().is_to_be_interrupted() {
+            if self.reader.borrow().should_interrupt() {
                 return;
             }
         }
--- a/crates/pointvane-node/src/replica/publication.rs
+++ b/crates/pointvane-node/src/replica/publication.rs
@@ -68,7 +68,7 @@
 
     fn apply_removal(&self, id: Name) {
         let grace_until_us = self.platform.state().grace_until_us();
-        if self.dispatcher.pool_mut().entry_removed(&id, grace_until_us, self.now_us()) {
+        if self.dispatcher.pool_mut().handle_entry_removal(&id, grace_until_us, self.now_us()) {
             self.report.note_bounded(self.now_us(), EventKind::UpstreamGone { upstream: id });
         }
     }
@@ -81,8 +81,8 @@
     }
 
     /// Removes upstreams whose entries expired during a store outage and were not restored.
-    pub fn forget_expired(&self) {
-        let expired = self.dispatcher.pool_mut().forget_expired(self.now_us());
+    pub fn remove_expired(&self) {
+        let expired = self.dispatcher.pool_mut().remove_expired(self.now_us());
         for upstream in expired {
             self.report.note_bounded(self.now_us(), EventKind::UpstreamGone { upstream });
         }
--- a/crates/pointvane-node/src/replica/relay_loop.rs
+++ b/crates/pointvane-node/src/replica/relay_loop.rs
@@ -75,8 +75,8 @@
 
     /// Stops watching in place of the watchers once a reader that precedes this node has read the platform.
     fn observe_reader(&self, origin: SocketAddr, age_ms: u64) {
-        if self.platform.state().stands_in() {
-            self.platform.state_mut().hear_reader(age_ms, self.fleet.precedes(origin));
+        if self.platform.state().is_acting_watcher() {
+            self.platform.state_mut().observe_reader(age_ms, self.fleet.precedes(origin));
         }
     }
 
--- a/crates/pointvane-node/src/replica/state_query.rs
+++ b/crates/pointvane-node/src/replica/state_query.rs
@@ -8,7 +8,7 @@
     crate::{node::Node, replica::platform_state::AnswerPermit, socket},
     pointvane_core::{Change, PlatformAdapter, RoutingConfiguration, RoutingDelta},
     pointvane_dispatch::{
-        KnownState, PeerQuery, ReadMark, StateOffer, StateReply, StateRequest, is_answer_sent,
+        KnownState, PeerQuery, ReadMark, StateOffer, StateReply, StateRequest, fits_reply_limit,
     },
     pointvane_mesh::codec,
     serde::Serialize,
@@ -42,7 +42,7 @@
 
 impl<A: PlatformAdapter> KnownState for Node<A> {
     fn entries(&self) -> Vec<Change> {
-        self.dispatcher.pool().listed().collect()
+        self.dispatcher.pool().listed_changes().collect()
     }
 
     fn configuration(&self) -> RoutingConfiguration {
@@ -130,7 +130,7 @@
 ) -> Option<PreparedAnswer<'n>> {
     let now_us = node.now_us();
     let age_ms = node.platform.state().newer_age_ms(request, now_us)?;
-    let is_full = node.platform.state().answers_whole(request);
+    let is_full = node.platform.state().answers_with_full_state(request);
     let permit = node.platform.begin_answer(is_full)?;
     let shared = || node.platform.shared_answer(request.known);
     let encoded = || {
@@ -142,7 +142,7 @@
         }
         Some(frame)
     };
-    let frame = shared().or_else(encoded).filter(|frame| is_answer_sent(frame.len()))?;
+    let frame = shared().or_else(encoded).filter(|frame| fits_reply_limit(frame.len()))?;
     Some(PreparedAnswer { age_ms, frame, permit })
 }
 
--- a/crates/pointvane-node/src/request.rs
+++ b/crates/pointvane-node/src/request.rs
@@ -116,8 +116,8 @@
             };
             let body = BodyFingerprint::new(body, body_length);
             Fingerprints {
-                exact: head.with_rest(QueryScope::Exact(self.uri.query()), body),
-                any_query: head.with_rest(QueryScope::Any, body),
+                exact: head.with_query_and_body(QueryScope::Exact(self.uri.query()), body),
+                any_query: head.with_query_and_body(QueryScope::Any, body),
             }
         })
     }
--- a/crates/pointvane-node/src/traffic.rs
+++ b/crates/pointvane-node/src/traffic.rs
@@ -85,8 +85,7 @@
 ) -> Result<CallerRequest, Refused> {
     let caller_timeout_ms = node.headers.caller_timeout_ms(&head.headers);
     if !node.knows_platform() {
-        let wait_ms =
-            first_state_wait_ms(node.dispatcher.start_wait_ms, node.running_ms(), caller_timeout_ms);
+        let wait_ms = first_state_wait_ms(node.dispatcher.start_wait_ms, node.uptime_ms(), caller_timeout_ms);
         node.platform.first_state(Duration::from_millis(wait_ms)).await;
     }
     let key = node.presented_key(&head.headers);
@@ -198,7 +197,7 @@
 
 fn find_route<A: PlatformAdapter>(node: &Node<A>, head: &Parts) -> Result<RoutedRequest, Refused> {
     if node.dispatcher.routes().version() == 0 {
-        let retry_after_ms = Some(first_state_retry_after_ms(node.running_ms()));
+        let retry_after_ms = Some(first_state_retry_after_ms(node.uptime_ms()));
         return Err(Refused { retry_after_ms, ..ErrorKind::NotReady.into() });
     }
     let routed = node.dispatcher.route(requested_host(&head.headers, &head.uri), head.uri.path());
