--- a/crates/pointvane-node/src/answer.rs
+++ b/crates/pointvane-node/src/answer.rs
@@ -60,7 +60,7 @@
 }
 
 /// Builds a response with a text body, for readiness, the directory and the operator port.
-pub fn short(status: StatusCode, content_type: &'static str, text: String) -> Response<RelayBody> {
+pub fn text_response(status: StatusCode, content_type: &'static str, text: String) -> Response<RelayBody> {
     let mut response = Response::new(RelayBody::whole(Bytes::from(text)));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
--- a/crates/pointvane-node/src/attempt.rs
+++ b/crates/pointvane-node/src/attempt.rs
@@ -88,7 +88,7 @@
     if outcome.send_started() {
         node.record_upstream_return(key, outcome);
     }
-    node.record_evidence(&request, outcome, sent_at_us, ended_at_us);
+    node.record_attempt_outcome(&request, outcome, sent_at_us, ended_at_us);
     let search_ms = sent_at_us.saturating_sub(began_us) / US_PER_MS;
     let times = AttemptTimes { search_ms, latency_ms: latency_us / US_PER_MS };
     report(&node, &request, role, &snapshot, AttemptEnding { outcome, retry_after }, &times);
--- a/crates/pointvane-node/src/directory.rs
+++ b/crates/pointvane-node/src/directory.rs
@@ -1,7 +1,7 @@
 //! Handlers for readiness checks and for callers' lookups of the nodes to use.
 
 use {
-    crate::{answer::short, connections::RelayBody, node::Node},
+    crate::{answer::text_response, connections::RelayBody, node::Node},
     hyper::{Request, Response, StatusCode, body::Incoming},
     pointvane_core::PlatformAdapter,
     pointvane_dispatch::directory_addresses,
@@ -19,7 +19,7 @@
     _request: Request<Incoming>,
 ) -> Result<Response<RelayBody>, Infallible> {
     let status = if node.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    Ok(short(status, TEXT, String::new()))
+    Ok(text_response(status, TEXT, String::new()))
 }
 
 /// Responds with the addresses of the nodes that a caller should use.
@@ -32,12 +32,12 @@
     // The query is optional; without it the caller names no data centre.
     let query = request.uri().query().unwrap_or_default();
     let Some(lookup) = node.adapter.parse_directory_query(request.uri().path(), query) else {
-        return Ok(short(StatusCode::NOT_FOUND, TEXT, String::new()));
+        return Ok(text_response(StatusCode::NOT_FOUND, TEXT, String::new()));
     };
     let addresses = directory_addresses(&node.fleet.directory_members(), lookup.data_centre.as_ref());
     if addresses.is_empty() {
-        return Ok(short(StatusCode::SERVICE_UNAVAILABLE, TEXT, String::new()));
+        return Ok(text_response(StatusCode::SERVICE_UNAVAILABLE, TEXT, String::new()));
     }
     let keep_s = node.settings().limits.directory_keep_s;
-    Ok(short(StatusCode::OK, JSON, node.adapter.encode_directory_answer(&addresses, keep_s)))
+    Ok(text_response(StatusCode::OK, JSON, node.adapter.encode_directory_answer(&addresses, keep_s)))
 }
--- a/crates/pointvane-node/src/exchange.rs
+++ b/crates/pointvane-node/src/exchange.rs
@@ -116,7 +116,7 @@
     // Checked before a streamed body is taken, after which the request cannot go to another upstream.
     begin_send(node, request, key, now_us)?;
     let outgoing = outgoing(node, request, key, now_us).ok_or(AttemptOutcome::Unsent)?;
-    request.charge.iter().for_each(QuotaCharge::spend);
+    request.charge.iter().for_each(QuotaCharge::commit);
     request.sends.set(request.sends.get() + 1);
     let id = request.headers.get(&node.headers.request_id).cloned();
     let awaited = AwaitedAnswer { key, id, answer_deadline_us: request.answer_deadline_us };
@@ -173,7 +173,7 @@
         return Err(AttemptOutcome::Unauthorized);
     }
     // The request may have crashed upstreams that other nodes sent it to.
-    if !node.may_send(request, now_us) {
+    if !node.try_begin_send(request, now_us) {
         return Err(AttemptOutcome::Quarantined);
     }
     // The upstream may have been evacuated or have started to drain.
--- a/crates/pointvane-node/src/forward.rs
+++ b/crates/pointvane-node/src/forward.rs
@@ -90,11 +90,11 @@
         match step {
             NextStep::Wait => {}
             NextStep::Retry => {
-                self.node.report.repeated(false);
+                self.node.report.retried_or_hedged(false);
                 self.start_best();
             }
             NextStep::Hedge => {
-                self.node.report.repeated(true);
+                self.node.report.retried_or_hedged(true);
                 let now_us = self.node.now_us();
                 let elapsed_ms = self.request.elapsed_ms(now_us);
                 let goal = hedge_goal(&self.request.routed.route, elapsed_ms, now_us);
--- a/crates/pointvane-node/src/gossip_loop.rs
+++ b/crates/pointvane-node/src/gossip_loop.rs
@@ -26,7 +26,7 @@
                 }
                 Action::Changed(change) => {
                     let kind = EventKind::MemberChanged { member: change.name, state: change.state };
-                    self.report.note_bounded(self.now_us(), kind);
+                    self.report.record_rate_limited(self.now_us(), kind);
                     self.fleet.record_membership_change();
                     self.share_budgets();
                 }
--- a/crates/pointvane-node/src/limit_loop.rs
+++ b/crates/pointvane-node/src/limit_loop.rs
@@ -46,7 +46,7 @@
                 () = node.limits_changed.notified() => {}
             }
             let expired = node.dispatcher.pool_mut().expire_limits(node.now_us());
-            expired.into_iter().for_each(|(key, change)| node.note_limit(key, change));
+            expired.into_iter().for_each(|(key, change)| node.report_limit_change(key, change));
             update_ranks(node, &mut inputs_by_upstream);
             send_announcements(node);
         }
@@ -113,7 +113,7 @@
 fn receive_limit<A: PlatformAdapter>(node: &Node<A>, announcement: &LimitAnnouncement) {
     let change = node.dispatcher.pool_mut().receive_limit(announcement, node.now_us());
     if let Some((key, change)) = change {
-        node.note_limit(key, change);
+        node.report_limit_change(key, change);
     }
 }
 
--- a/crates/pointvane-node/src/node.rs
+++ b/crates/pointvane-node/src/node.rs
@@ -90,11 +90,11 @@
     /// Whether this node accepts callers: it is not shutting down and has read the configuration and the
     /// upstreams.
     pub fn is_ready(&self) -> bool {
-        self.lifecycle.is_running() && self.knows_platform()
+        self.lifecycle.is_running() && self.has_platform_state()
     }
 
     /// Whether both the configuration and the upstreams have been read.
-    pub fn knows_platform(&self) -> bool {
+    pub fn has_platform_state(&self) -> bool {
         self.dispatcher.routes().version() > 0 && self.platform.mark().revision > 0
     }
 
--- a/crates/pointvane-node/src/notices.rs
+++ b/crates/pointvane-node/src/notices.rs
@@ -42,12 +42,12 @@
     fn apply_limit(&self, key: UpstreamKey, notice: LimitNotice, sent_at_us: Option<u64>) {
         let change = self.dispatcher.pool_mut().record_limit(key, notice, sent_at_us, self.now_us());
         if let Some(change) = change {
-            self.note_limit(key, change);
+            self.report_limit_change(key, change);
         }
     }
 
     /// Reports that an upstream's request limit has changed, and has this node's share of it computed.
-    pub fn note_limit(&self, key: UpstreamKey, change: LimitChange) {
+    pub fn report_limit_change(&self, key: UpstreamKey, change: LimitChange) {
         // Done at once, since no request is sent to the upstream until the share is known.
         limit_loop::update_limit_rank(self, key);
         self.limits_changed.notify_one();
@@ -58,7 +58,7 @@
         };
         if let Some((service, upstream)) = self.service_and_id(key) {
             let kind = EventKind::UpstreamLimitChanged { service, upstream, per_1000_s };
-            self.report.note_bounded(self.now_us(), kind);
+            self.report.record_rate_limited(self.now_us(), kind);
         }
     }
 
@@ -66,18 +66,18 @@
         let now_us = self.now_us();
         let back_off_us = self.dispatcher.pool_mut().record_back_off(key, duration_us, now_us);
         if let (Some(back_off_us), Some((service, upstream))) = (back_off_us, self.service_and_id(key)) {
-            self.report.backed_off();
+            self.report.upstream_backed_off();
             let back_off_ms = back_off_us / US_PER_MS;
             let kind = EventKind::UpstreamBackingOff { service, upstream, back_off_ms };
-            self.report.note_bounded(now_us, kind);
+            self.report.record_rate_limited(now_us, kind);
         }
     }
 
     fn apply_leaving(&self, key: UpstreamKey) {
         let is_new = self.dispatcher.pool_mut().record_leaving(key);
         if let (true, Some((service, upstream))) = (is_new, self.service_and_id(key)) {
-            self.report.left();
-            self.report.note_bounded(self.now_us(), EventKind::UpstreamLeaving { service, upstream });
+            self.report.upstream_leaving();
+            self.report.record_rate_limited(self.now_us(), EventKind::UpstreamLeaving { service, upstream });
         }
     }
 
@@ -88,7 +88,7 @@
         let now_us = self.now_us();
         let is_back = self.dispatcher.pool_mut().record_return(key, ran, now_us);
         if let (true, Some((service, upstream))) = (is_back, self.service_and_id(key)) {
-            self.report.note_bounded(now_us, EventKind::UpstreamReturned { service, upstream });
+            self.report.record_rate_limited(now_us, EventKind::UpstreamReturned { service, upstream });
         }
     }
 
--- a/crates/pointvane-node/src/operator.rs
+++ b/crates/pointvane-node/src/operator.rs
@@ -1,7 +1,7 @@
 //! Handler of the operator port: metrics, events and status.
 
 use {
-    crate::{answer::short, connections::RelayBody, node::Node},
+    crate::{answer::text_response, connections::RelayBody, node::Node},
     hyper::{Request, Response, StatusCode, body::Incoming},
     pointvane_core::{PER_1000_S, PlatformAdapter, US_PER_MS},
     serde::Serialize,
@@ -71,11 +71,11 @@
             (JSON, serde_json::to_string(&node.report.events.page(events_after(request.uri().query()))).ok())
         }
         "/status" => (JSON, serde_json::to_string(&status(&node)).ok()),
-        _ => return Ok(short(StatusCode::NOT_FOUND, TEXT, String::new())),
+        _ => return Ok(text_response(StatusCode::NOT_FOUND, TEXT, String::new())),
     };
     Ok(match text {
-        Some(text) => short(StatusCode::OK, content_type, text),
-        None => short(StatusCode::INTERNAL_SERVER_ERROR, TEXT, String::new()),
+        Some(text) => text_response(StatusCode::OK, content_type, text),
+        None => text_response(StatusCode::INTERNAL_SERVER_ERROR, TEXT, String::new()),
     })
 }
 
--- a/crates/pointvane-node/src/quarantine.rs
+++ b/crates/pointvane-node/src/quarantine.rs
@@ -21,7 +21,7 @@
     }
 
     /// Records that a request is about to be sent. Returns false, and records nothing, if it is quarantined.
-    pub fn may_send(&self, request: &CallerRequest, now_us: u64) -> bool {
+    pub fn try_begin_send(&self, request: &CallerRequest, now_us: u64) -> bool {
         if !self.may_have_record(request) {
             return true;
         }
@@ -40,7 +40,7 @@
     /// Records what the outcome of an attempt indicates about its request: a crash, or survival.
     ///
     /// Times are in microseconds of the monotonic clock.
-    pub fn record_evidence(
+    pub fn record_attempt_outcome(
         &self,
         request: &CallerRequest,
         outcome: AttemptOutcome,
@@ -80,7 +80,7 @@
                 }
             };
             self.report.quarantine_changed(&change);
-            self.report.note_bounded(self.now_us(), kind);
+            self.report.record_rate_limited(self.now_us(), kind);
         }
     }
 
--- a/crates/pointvane-node/src/quota.rs
+++ b/crates/pointvane-node/src/quota.rs
@@ -45,24 +45,24 @@
     quotas: SharedQuotas,
     account: Name,
     admitted_at_us: u64,
-    spent: Cell<bool>,
+    committed: Cell<bool>,
 }
 
 impl QuotaCharge {
     /// Creates the charge of a request that was admitted at `now_us`.
     pub fn new(quotas: &SharedQuotas, account: Name, now_us: u64) -> Self {
-        Self { quotas: quotas.clone(), account, admitted_at_us: now_us, spent: Cell::new(false) }
+        Self { quotas: quotas.clone(), account, admitted_at_us: now_us, committed: Cell::new(false) }
     }
 
     /// Makes the charge final because the request is being sent.
-    pub fn spend(&self) {
-        self.spent.set(true);
+    pub fn commit(&self) {
+        self.committed.set(true);
     }
 }
 
 impl Drop for QuotaCharge {
     fn drop(&mut self) {
-        if !self.spent.get() {
+        if !self.committed.get() {
             self.quotas.borrow_mut().refund(&self.account, self.admitted_at_us);
         }
     }
--- a/crates/pointvane-node/src/replica/platform_reader.rs
+++ b/crates/pointvane-node/src/replica/platform_reader.rs
@@ -84,14 +84,14 @@
     node.report.called_platform(kind, reason);
     if reason != CallReason::Watching {
         let kind = EventKind::PlatformCalled { call: kind.as_str().into(), reason: reason.as_str().into() };
-        node.report.note_bounded(node.now_us(), kind);
+        node.report.record_rate_limited(node.now_us(), kind);
     }
 }
 
 fn note_reachability<A: PlatformAdapter>(node: &Node<A>, unreachable_before: bool) {
     match (unreachable_before, node.platform.state().is_unreachable()) {
-        (false, true) => node.report.note(EventKind::PlatformLost),
-        (true, false) => node.report.note(EventKind::PlatformBack),
+        (false, true) => node.report.record(EventKind::PlatformLost),
+        (true, false) => node.report.record(EventKind::PlatformBack),
         _ => {}
     }
 }
@@ -123,7 +123,7 @@
         node.platform.state_mut().receive_state(reply, pool.known_changes(), node.now_us())
     };
     if !changes.is_empty() {
-        node.report.note(EventKind::StateTold { peer, revision, age_ms });
+        node.report.record(EventKind::StateTold { peer, revision, age_ms });
     }
     node.apply(changes);
 }
@@ -161,7 +161,7 @@
     let mark = node.platform.mark();
     if mark.revision > 0 {
         let upstreams = changes.iter().filter(|change| matches!(change, Change::Upstream(_))).count() as u64;
-        node.report.note(EventKind::PlatformRead {
+        node.report.record(EventKind::PlatformRead {
             revision: mark.revision,
             version: mark.version,
             upstreams,
@@ -192,7 +192,7 @@
     };
     let Some(answer) = answer else {
         node.report.platform_call_failed(GIVEN_UP);
-        node.report.note(EventKind::WatchRenewed { revision: node.platform.mark().revision });
+        node.report.record(EventKind::WatchRenewed { revision: node.platform.mark().revision });
         return client.close();
     };
     let answer = match answer {
--- a/crates/pointvane-node/src/replica/platform_state.rs
+++ b/crates/pointvane-node/src/replica/platform_state.rs
@@ -121,7 +121,7 @@
     }
 
     /// Returns once the configuration and the upstreams are known, or after `max_wait`.
-    pub async fn first_state(&self, max_wait: Duration) {
+    pub async fn wait_for_first_state(&self, max_wait: Duration) {
         // The result is ignored: callers check the state afterwards.
         _ = timeout(max_wait, self.state_known.notified()).await;
     }
--- a/crates/pointvane-node/src/replica/publication.rs
+++ b/crates/pointvane-node/src/replica/publication.rs
@@ -42,7 +42,7 @@
         }
         self.share_budgets();
         self.publish_entry();
-        if self.knows_platform() {
+        if self.has_platform_state() {
             self.platform.notify_state_known();
         }
     }
@@ -62,21 +62,21 @@
                 // announced it.
                 self.dispatcher.connections.discard(before.address);
             }
-            self.report.note_bounded(self.now_us(), kind);
+            self.report.record_rate_limited(self.now_us(), kind);
         }
     }
 
     fn apply_removal(&self, id: Name) {
         let grace_until_us = self.platform.state().grace_until_us();
         if self.dispatcher.pool_mut().handle_entry_removal(&id, grace_until_us, self.now_us()) {
-            self.report.note_bounded(self.now_us(), EventKind::UpstreamGone { upstream: id });
+            self.report.record_rate_limited(self.now_us(), EventKind::UpstreamGone { upstream: id });
         }
     }
 
     fn apply_evacuation(&self, evacuation: Evacuation) {
         let Evacuation { data_centre, active, revision } = evacuation.clone();
         if self.dispatcher.pool_mut().apply_evacuation(evacuation) {
-            self.report.note(EventKind::EvacuationChanged { data_centre, active, revision });
+            self.report.record(EventKind::EvacuationChanged { data_centre, active, revision });
         }
     }
 
@@ -84,7 +84,7 @@
     pub fn remove_expired(&self) {
         let expired = self.dispatcher.pool_mut().remove_expired(self.now_us());
         for upstream in expired {
-            self.report.note_bounded(self.now_us(), EventKind::UpstreamGone { upstream });
+            self.report.record_rate_limited(self.now_us(), EventKind::UpstreamGone { upstream });
         }
     }
 
@@ -93,7 +93,7 @@
     fn apply_configuration(&self, configuration: RoutingConfiguration) {
         let (revision, index) = (configuration.version, self.platform.mark().revision);
         if self.dispatcher.accept_configuration(configuration) {
-            self.report.note(EventKind::ConfigurationAccepted { revision, index });
+            self.report.record(EventKind::ConfigurationAccepted { revision, index });
         }
     }
 
@@ -104,11 +104,11 @@
         let accepted = self.dispatcher.accept_deltas(deltas);
         let revision = self.dispatcher.routes().version();
         match accepted {
-            Ok(()) => self.report.note(EventKind::ConfigurationAccepted { revision, index }),
+            Ok(()) => self.report.record(EventKind::ConfigurationAccepted { revision, index }),
             Err(mismatch) => {
                 self.platform.state_mut().configuration_missing(revision);
                 let reason = format!("deltas do not match the current version: {mismatch:?}");
-                self.report.note(EventKind::ConfigurationRefused { revision, index, reason });
+                self.report.record(EventKind::ConfigurationRefused { revision, index, reason });
             }
         }
     }
@@ -117,14 +117,14 @@
     pub fn note_no_configuration(&self, index: u64) {
         self.report.missing_configuration();
         let reason = "the platform holds no usable configuration".into();
-        self.report.note(EventKind::ConfigurationRefused { revision: 0, index, reason });
+        self.report.record(EventKind::ConfigurationRefused { revision: 0, index, reason });
     }
 
     /// Reports items, or parts of items, that were rejected as invalid.
     pub fn note_refused_items(&self, refused: impl IntoIterator<Item = RefusedItem>) {
         for RefusedItem { key, fault, problem } in refused {
             self.report.refused_item(fault);
-            self.report.note_bounded(self.now_us(), EventKind::ItemRefused { key, problem });
+            self.report.record_rate_limited(self.now_us(), EventKind::ItemRefused { key, problem });
         }
     }
 }
--- a/crates/pointvane-node/src/replica/state_query.rs
+++ b/crates/pointvane-node/src/replica/state_query.rs
@@ -100,8 +100,8 @@
         let bytes = timeout(REQUEST_TIMEOUT, read_frame(&mut stream)).await??;
         codec::decode(&bytes).map_err(io::Error::other)?
     };
-    if request.known == ReadMark::default() && !node.knows_platform() {
-        node.platform.first_state(FIRST_STATE_TIMEOUT).await;
+    if request.known == ReadMark::default() && !node.has_platform_state() {
+        node.platform.wait_for_first_state(FIRST_STATE_TIMEOUT).await;
     }
     let (offer, frame, _permit) = match prepare_answer(node, &request) {
         Some(PreparedAnswer { age_ms, frame, permit }) => {
--- a/crates/pointvane-node/src/report.rs
+++ b/crates/pointvane-node/src/report.rs
@@ -118,14 +118,14 @@
     }
 
     /// Records a change of this node's own state; its line is never suppressed.
-    pub fn note(&self, kind: EventKind) {
+    pub fn record(&self, kind: EventKind) {
         self.events.note(kind);
     }
 
     /// Records a state change of an upstream or another node; its line is suppressed above the rate limit.
-    pub fn note_bounded(&self, now_us: u64, kind: EventKind) {
+    pub fn record_rate_limited(&self, now_us: u64, kind: EventKind) {
         let decision = self.gate.borrow_mut().change(now_us);
-        self.note_suppressed(decision);
+        self.record_suppressed(decision);
         if decision.written {
             self.events.note(kind);
         } else {
@@ -133,7 +133,7 @@
         }
     }
 
-    fn note_suppressed(&self, decision: GateDecision) {
+    fn record_suppressed(&self, decision: GateDecision) {
         if let Some(count) = decision.suppressed {
             self.events.note(EventKind::LinesLeftOut { count });
         }
@@ -149,7 +149,7 @@
     /// Writes a line for a failed request, unless the rate limit is exceeded.
     pub fn failure(&self, now_us: u64, line: impl FnOnce() -> EventKind) {
         let decision = self.gate.borrow_mut().failure(now_us);
-        self.note_suppressed(decision);
+        self.record_suppressed(decision);
         if decision.written {
             self.events.note(line());
         }
@@ -180,7 +180,7 @@
     }
 
     /// Counts a retry or a hedge.
-    pub fn repeated(&self, hedge: bool) {
+    pub fn retried_or_hedged(&self, hedge: bool) {
         self.repeats.add(1, &[KeyValue::new("hedge", hedge)]);
     }
 
@@ -196,12 +196,12 @@
     }
 
     /// Counts a back-off requested or prolonged by an upstream.
-    pub fn backed_off(&self) {
+    pub fn upstream_backed_off(&self) {
         self.back_offs.add(1, &[]);
     }
 
     /// Counts an upstream that announced that it is leaving.
-    pub fn left(&self) {
+    pub fn upstream_leaving(&self) {
         self.leavings.add(1, &[]);
     }
 
--- a/crates/pointvane-node/src/run.rs
+++ b/crates/pointvane-node/src/run.rs
@@ -9,7 +9,7 @@
         operator, quarantine_loop, quota_loop,
         replica::{platform_reader, relay_loop, state_query},
         report::Report,
-        serve::{listen, serve_in_turn},
+        serve::{listen, serve_sequentially},
         settings::NodeSettings,
         stop,
     },
@@ -44,7 +44,8 @@
 {
     let settings = read_settings()?;
     let report = Report::new(&settings.name, options.lines)?;
-    let runtime = Builder::new_current_thread().enable_all().build().wrap_err("runtime")?;
+    let runtime =
+        Builder::new_current_thread().enable_all().build().wrap_err("cannot create the Tokio runtime")?;
     let node = Rc::new(Node::new(adapter, settings, &options, report));
     LocalSet::new().block_on(&runtime, run_until_stopped(node, options.fleet, read_settings))
 }
@@ -54,10 +55,10 @@
     A: PlatformAdapter + 'static,
     S: Fn() -> Result<NodeSettings> + 'static,
 {
-    let terminate = signal(SignalKind::terminate()).wrap_err("signal")?;
-    let reload = signal(SignalKind::hangup()).wrap_err("signal")?;
+    let terminate = signal(SignalKind::terminate()).wrap_err("cannot handle SIGTERM")?;
+    let reload = signal(SignalKind::hangup()).wrap_err("cannot handle SIGHUP")?;
     start(&node, fleet).await?;
-    node.report.note(EventKind::Started);
+    node.report.record(EventKind::Started);
     maintain_until_terminated(&node, terminate, reload, &read_settings).await;
     stop::stop(Rc::clone(&node)).await;
     node.report.flush();
@@ -72,7 +73,7 @@
     let sockets = open_sockets(gossip).await?;
     node.fleet.set_sockets(sockets.clone());
     listen_to_callers(node, &settings).await?;
-    let queries = TcpListener::bind(gossip).await.wrap_err("state queries of other nodes")?;
+    let queries = TcpListener::bind(gossip).await.wrap_err("cannot bind the state query socket")?;
     spawn_local(gossip_loop::run(Rc::clone(node), sockets.gossip));
     spawn_local(state_query::serve(Rc::clone(node), queries));
     spawn_local(relay_loop::run(Rc::clone(node), sockets.relays));
@@ -85,16 +86,16 @@
 
 /// Binds the UDP sockets to other nodes, at fixed offsets from the gossip port.
 async fn open_sockets(gossip: SocketAddr) -> Result<Sockets> {
-    let open = async |port_offset, name| {
+    let open = async |port_offset, error_context| {
         let address = SocketAddr::new(gossip.ip(), gossip.port() + port_offset);
-        UdpSocket::bind(address).await.map(Rc::new).wrap_err(name)
+        UdpSocket::bind(address).await.map(Rc::new).wrap_err(error_context)
     };
     Ok(Sockets {
-        gossip: open(0, "gossip").await?,
-        relays: open(RELAY_PORT_OFFSET, "relays").await?,
-        quarantine: open(QUARANTINE_PORT_OFFSET, "quarantine messages").await?,
-        quotas: open(QUOTA_PORT_OFFSET, "quota messages").await?,
-        limits: open(LIMIT_PORT_OFFSET, "limit messages").await?,
+        gossip: open(0, "cannot bind the gossip socket").await?,
+        relays: open(RELAY_PORT_OFFSET, "cannot bind the relay socket").await?,
+        quarantine: open(QUARANTINE_PORT_OFFSET, "cannot bind the quarantine socket").await?,
+        quotas: open(QUOTA_PORT_OFFSET, "cannot bind the quota socket").await?,
+        limits: open(LIMIT_PORT_OFFSET, "cannot bind the limit socket").await?,
     })
 }
 
@@ -104,12 +105,12 @@
     settings: &NodeSettings,
 ) -> Result<()> {
     listen(Rc::clone(node), settings.traffic, caller_connection::serve).await?;
-    let readiness = |node, stream| serve_in_turn(node, stream, directory::readiness);
+    let readiness = |node, stream| serve_sequentially(node, stream, directory::readiness);
     listen(Rc::clone(node), settings.readiness, readiness).await?;
-    let directory = |node, stream| serve_in_turn(node, stream, directory::directory);
+    let directory = |node, stream| serve_sequentially(node, stream, directory::directory);
     listen(Rc::clone(node), settings.directory, directory).await?;
     if let Some(address) = settings.operator {
-        let operator = |node, stream| serve_in_turn(node, stream, operator::operator);
+        let operator = |node, stream| serve_sequentially(node, stream, operator::operator);
         listen(Rc::clone(node), address, operator).await?;
     }
     Ok(())
@@ -153,9 +154,9 @@
 fn reload_settings<A: PlatformAdapter>(node: &Node<A>, read_settings: &impl Fn() -> Result<NodeSettings>) {
     match read_settings() {
         Ok(settings) => {
-            node.report.note(EventKind::Reloaded { changed: *node.settings() != settings });
+            node.report.record(EventKind::Reloaded { changed: *node.settings() != settings });
             node.replace_settings(settings);
         }
-        Err(problem) => node.report.note(EventKind::ReloadRefused { problem: format!("{problem:#}") }),
+        Err(problem) => node.report.record(EventKind::ReloadRefused { problem: format!("{problem:#}") }),
     }
 }
--- a/crates/pointvane-node/src/serve.rs
+++ b/crates/pointvane-node/src/serve.rs
@@ -38,7 +38,7 @@
             tokio::select! {
                 accepted = listener.accept() => {
                     // An accept error concerns a single connection; its caller sees it fail.
-                    if let Ok((stream, _)) = accepted && socket::watch_peer(&stream).is_ok() {
+                    if let Ok((stream, _)) = accepted && socket::enable_dead_peer_detection(&stream).is_ok() {
                         spawn_local(serve_connection(Rc::clone(&node), stream));
                     }
                 }
@@ -50,7 +50,7 @@
 }
 
 /// Serves a connection, passing its requests to `handle` one at a time.
-pub async fn serve_in_turn<A, H, F>(node: Rc<Node<A>>, stream: TcpStream, handle: H)
+pub async fn serve_sequentially<A, H, F>(node: Rc<Node<A>>, stream: TcpStream, handle: H)
 where
     A: PlatformAdapter + 'static,
     H: Fn(Rc<Node<A>>, Request<Incoming>) -> F + 'static,
--- a/crates/pointvane-node/src/socket.rs
+++ b/crates/pointvane-node/src/socket.rs
@@ -21,7 +21,7 @@
 /// Fails if the connection cannot be opened within `connect_timeout`.
 pub async fn connect(address: SocketAddr, connect_timeout: Duration) -> io::Result<TcpStream> {
     let stream = timeout(connect_timeout, TcpStream::connect(address)).await??;
-    watch_peer(&stream)?;
+    enable_dead_peer_detection(&stream)?;
     Ok(stream)
 }
 
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// Fails if a socket option cannot be set.
-pub fn watch_peer(stream: &TcpStream) -> io::Result<()> {
+pub fn enable_dead_peer_detection(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
--- a/crates/pointvane-node/src/stop.rs
+++ b/crates/pointvane-node/src/stop.rs
@@ -22,7 +22,7 @@
 pub async fn stop<A: PlatformAdapter>(node: Rc<Node<A>>) {
     let started_at = Instant::now();
     let grace = node.settings().limits.stop_grace;
-    node.report.note(EventKind::Stopping { in_flight: node.lifecycle.connections_open() as u64 });
+    node.report.record(EventKind::Stopping { in_flight: node.lifecycle.connections_open() as u64 });
     node.lifecycle.set_stage(Stage::Draining);
     node.publish_entry();
     let actions = node.fleet.leave();
@@ -32,5 +32,5 @@
     while node.lifecycle.connections_open() > 0 && started_at.elapsed() + EXIT_MARGIN < grace {
         sleep(POLL_INTERVAL).await;
     }
-    node.report.note(EventKind::Stopped { cut: node.lifecycle.connections_open() as u64 });
+    node.report.record(EventKind::Stopped { cut: node.lifecycle.connections_open() as u64 });
 }
--- a/crates/pointvane-node/src/traffic.rs
+++ b/crates/pointvane-node/src/traffic.rs
@@ -84,9 +84,9 @@
     origin: RequestOrigin,
 ) -> Result<CallerRequest, Refused> {
     let caller_timeout_ms = node.headers.caller_timeout_ms(&head.headers);
-    if !node.knows_platform() {
+    if !node.has_platform_state() {
         let wait_ms = first_state_wait_ms(node.dispatcher.start_wait_ms, node.uptime_ms(), caller_timeout_ms);
-        node.platform.first_state(Duration::from_millis(wait_ms)).await;
+        node.platform.wait_for_first_state(Duration::from_millis(wait_ms)).await;
     }
     let key = node.presented_key(&head.headers);
     let routed = node.authorize(find_route(node, &head)?, key.as_ref())?;
