--- a/crates/pointvane-balance/benches/choose.rs
+++ b/crates/pointvane-balance/benches/choose.rs
@@ -2,7 +2,7 @@
 
 use {
     criterion::{Criterion, criterion_group, criterion_main},
-    pointvane_balance::{Arrival, AttemptEnd, AttemptResult, Decision, ServiceBalancer},
+    pointvane_balance::{Arrival, AttemptOutcome, AttemptResult, Decision, ServiceBalancer},
     pointvane_config::{
         AdmissionOptions, EjectionOptions, FleetLimits, HedgeOptions, LoadOptions, Policy, RetryOptions,
         Route, Service, Upstream,
@@ -42,7 +42,7 @@
             let service = service(policy, upstreams);
             let mut balancer = ServiceBalancer::new(&service, &FleetLimits::default(), 1, NOW_US);
             for index in 0..usize::from(upstreams) {
-                balancer.reported(
+                balancer.record_report(
                     index,
                     LoadReport { in_flight: 3, draining: false, ..LoadReport::default() },
                     NOW_US,
@@ -55,9 +55,11 @@
                     else {
                         panic!("not started")
                     };
-                    let end = AttemptEnd::Answered;
-                    balancer
-                        .finish(&AttemptResult { upstream, end, latency_us: 15_000, report: None }, NOW_US);
+                    let end = AttemptOutcome::Answered;
+                    balancer.finish_attempt(
+                        &AttemptResult { upstream, end, latency_us: 15_000, report: None },
+                        NOW_US,
+                    );
                 });
             });
         }
--- a/crates/pointvane-balance/src/keys.rs
+++ b/crates/pointvane-balance/src/keys.rs
@@ -32,7 +32,7 @@
 }
 
 /// A response that can be stored for repeated requests.
-pub trait Kept {
+pub trait ResponseSize {
     /// Size in memory, in bytes.
     fn size_bytes(&self) -> usize;
 }
@@ -49,7 +49,7 @@
     /// Refuse the request.
     Refuse(ErrorKind),
     /// Forward the request to the entry VM that owns the key.
-    PassOn {
+    Forward {
         /// Name of the owner.
         vm: Name,
         /// The only incarnation of the owner that may run the key.
@@ -59,7 +59,7 @@
 
 /// How the run of a key ended.
 #[derive(Debug)]
-pub enum KeyEnd<A> {
+pub enum KeyOutcome<A> {
     /// No byte was sent to an upstream. The key is recorded as not run and will never run.
     NotRun(ErrorKind),
     /// The key ran; the response, if any, may be stored.
@@ -84,7 +84,7 @@
     stored_bytes: usize,
 }
 
-impl<A: Kept, J> KeyTable<A, J> {
+impl<A: ResponseSize, J> KeyTable<A, J> {
     /// Creates an empty table for this incarnation.
     pub fn new(options: KeyTableOptions, vm: Name, incarnation: Incarnation) -> Self {
         let (records, expiries) = (HashMap::new(), BTreeSet::new());
@@ -104,7 +104,7 @@
     /// Decides on a request. `now_ms` counts from the start of the incarnation.
     pub fn begin(&mut self, key: &IdempotencyKey, waiter: J, now_ms: u64) -> KeyDecision<A, J> {
         if key.vm != self.vm {
-            return KeyDecision::PassOn { vm: key.vm.clone(), incarnation: key.incarnation };
+            return KeyDecision::Forward { vm: key.vm.clone(), incarnation: key.incarnation };
         }
         if key.incarnation != self.incarnation {
             return KeyDecision::Refuse(ErrorKind::KeyOwnerGone);
@@ -143,18 +143,18 @@
     pub fn refuse(&mut self, key: &IdempotencyKey, waiter: J, kind: ErrorKind, now_ms: u64) -> ErrorKind {
         match self.begin(key, waiter, now_ms) {
             KeyDecision::Run(_) => {
-                self.finish(key, KeyEnd::NotRun(kind));
+                self.finish(key, KeyOutcome::NotRun(kind));
                 kind
             }
             KeyDecision::Refuse(recorded) => recorded,
             KeyDecision::Joined | KeyDecision::Replay(_) => ErrorKind::AnswerNotKept,
-            KeyDecision::PassOn { .. } => ErrorKind::KeyOwnerGone,
+            KeyDecision::Forward { .. } => ErrorKind::KeyOwnerGone,
         }
     }
 
     /// Records the end of a run and returns the handles of the requests that joined it, which get the same
     /// result.
-    pub fn finish(&mut self, key: &IdempotencyKey, end: KeyEnd<A>) -> Vec<J> {
+    pub fn finish(&mut self, key: &IdempotencyKey, end: KeyOutcome<A>) -> Vec<J> {
         let id: Box<str> = key.to_string().into();
         // The key may have been removed meanwhile. It is not added again; its expiry alone prevents another
         // run.
@@ -162,8 +162,8 @@
             return Vec::new();
         }
         let record = match end {
-            KeyEnd::NotRun(kind) => KeyRecord::NotRun(kind),
-            KeyEnd::Ran(response) => {
+            KeyOutcome::NotRun(kind) => KeyRecord::NotRun(kind),
+            KeyOutcome::Ran(response) => {
                 let stored =
                     response.filter(|a| self.stored_bytes + a.size_bytes() <= self.options.stored_bytes_max);
                 self.stored_bytes += stored.as_ref().map_or(0, |response| response.size_bytes());
--- a/crates/pointvane-balance/src/lib.rs
+++ b/crates/pointvane-balance/src/lib.rs
@@ -19,6 +19,6 @@
 
 pub use {
     admission::{AdmissionQueue, Arrival, QueuedRequest},
-    keys::{Kept, KeyDecision, KeyEnd, KeyTable, KeyTableOptions},
-    service::{AttemptEnd, AttemptResult, Decision, Dispatch, ServiceBalancer, UpstreamSummary},
+    keys::{KeyDecision, KeyOutcome, KeyTable, KeyTableOptions, ResponseSize},
+    service::{AttemptOutcome, AttemptResult, Decision, Dispatch, ServiceBalancer, UpstreamSummary},
 };
--- a/crates/pointvane-balance/src/service.rs
+++ b/crates/pointvane-balance/src/service.rs
@@ -28,7 +28,7 @@
 
 use {pick::PickError, upstreams::UpstreamRecord};
 pub use {
-    result::{AttemptEnd, AttemptResult},
+    result::{AttemptOutcome, AttemptResult},
     summary::UpstreamSummary,
 };
 
--- a/crates/pointvane-balance/src/service/limit.rs
+++ b/crates/pointvane-balance/src/service/limit.rs
@@ -66,7 +66,7 @@
     }
 
     /// Returns the limits of at most `count_max` upstreams that are due to be announced to other entry VMs.
-    pub fn take_limits(&mut self, count_max: usize, now_us: u64) -> Vec<ObservedLimit> {
+    pub fn take_limit_announcements(&mut self, count_max: usize, now_us: u64) -> Vec<ObservedLimit> {
         let limit_count = self.advertised_limit_count();
         let mut observed = Vec::new();
         for (position, index) in self.index_by_position.iter().enumerate() {
--- a/crates/pointvane-balance/src/service/probe.rs
+++ b/crates/pointvane-balance/src/service/probe.rs
@@ -9,7 +9,7 @@
 
 impl<W> ServiceBalancer<W> {
     /// Returns an upstream that is due for a probe. The caller sends the probe and passes the result to
-    /// [`Self::reported`].
+    /// [`Self::record_report`].
     ///
     /// Probes are sent only while requests arrive, and only within this entry VM's share of the fleet's probe
     /// budget.
--- a/crates/pointvane-balance/src/service/result.rs
+++ b/crates/pointvane-balance/src/service/result.rs
@@ -8,7 +8,7 @@
 
 /// How an attempt at an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// A complete response was received.
     Answered,
     /// The upstream failed or could not be reached.
@@ -25,14 +25,14 @@
     /// Index of the upstream.
     pub upstream: usize,
     /// How the attempt ended.
-    pub end: AttemptEnd,
+    pub end: AttemptOutcome,
     /// Time from start to end, in microseconds.
     pub latency_us: u64,
     /// Load report that came with the response.
     pub report: Option<LoadReport>,
 }
 
-impl AttemptEnd {
+impl AttemptOutcome {
     /// Whether the upstream has run the request.
     const fn was_executed(self) -> bool {
         matches!(self, Self::Answered)
@@ -46,26 +46,26 @@
 
 impl<W> ServiceBalancer<W> {
     /// Records the end of an attempt.
-    pub fn finish(&mut self, result: &AttemptResult, now_us: u64) {
+    pub fn finish_attempt(&mut self, result: &AttemptResult, now_us: u64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         // Only computed for failures, since it iterates over all upstreams.
-        let may_eject = result.end == AttemptEnd::Failed && self.may_eject(now_us);
+        let may_eject = result.end == AttemptOutcome::Failed && self.may_eject(now_us);
         let state = &mut self.upstreams[result.upstream];
         state.own_in_flight = state.own_in_flight.saturating_sub(1);
         state.backoff.record_result(result.end.was_executed(), now_us);
         state.health.end_warm_up_if_complete(now_us, &self.service.ejection);
         match result.end {
-            AttemptEnd::Answered => self.record_response(result, now_us),
-            AttemptEnd::Failed => {
+            AttemptOutcome::Answered => self.record_response(result, now_us),
+            AttemptOutcome::Failed => {
                 if state.health.record_failure(&self.service.ejection) && may_eject {
                     state.health.eject(now_us, &self.service.ejection);
                 }
             }
-            AttemptEnd::Shed => state.record_shed(),
-            AttemptEnd::Cancelled => {}
+            AttemptOutcome::Shed => state.record_shed(),
+            AttemptOutcome::Cancelled => {}
         }
         if let Some(report) = result.report {
-            self.reported(result.upstream, report, now_us);
+            self.record_report(result.upstream, report, now_us);
         }
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Records that an upstream has asked for no requests for `for_us` microseconds.
-    pub fn back_off(&mut self, upstream: usize, for_us: u64, now_us: u64) {
+    pub fn record_back_off(&mut self, upstream: usize, for_us: u64, now_us: u64) {
         let slots = self.upstreams[upstream].upstream.slots;
         let spread_us = resume_delay_max_us(self.limits.entry_vms_max as usize, slots.into(), for_us);
         let delay_us = self.rng.random_range(0..=spread_us);
@@ -95,7 +95,7 @@
     }
 
     /// Records a load report that came with a response or a probe.
-    pub fn reported(&mut self, upstream: usize, report: LoadReport, now_us: u64) {
+    pub fn record_report(&mut self, upstream: usize, report: LoadReport, now_us: u64) {
         let record = &mut self.records[upstream];
         record.probed_at_us = None;
         record.reported_at_us = now_us;
@@ -113,7 +113,7 @@
 
     /// Records the state of an upstream's VM in the platform's VM list. Only `leaving` counts, since the age
     /// of the list is unknown.
-    pub fn listed(&mut self, name: &Name, leaving: bool, now_us: u64) {
+    pub fn apply_vm_list(&mut self, name: &Name, leaving: bool, now_us: u64) {
         let found = self.upstreams.iter_mut().filter(|state| state.upstream.name == *name);
         for state in found.filter(|_| leaving) {
             state.evidence.observe(true, now_us);
--- a/crates/pointvane-balance/tests/keys.rs
+++ b/crates/pointvane-balance/tests/keys.rs
@@ -3,7 +3,7 @@
 
 use {
     googletest::prelude::*,
-    pointvane_balance::{Kept, KeyDecision, KeyEnd, KeyTable, KeyTableOptions},
+    pointvane_balance::{KeyDecision, KeyOutcome, KeyTable, KeyTableOptions, ResponseSize},
     pointvane_core::{ErrorKind, IdempotencyKey, Incarnation, Outcome},
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
     std::{collections::HashSet, sync::Arc},
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 struct Response(usize);
 
-impl Kept for Response {
+impl ResponseSize for Response {
     fn size_bytes(&self) -> usize {
         self.0
     }
@@ -38,7 +38,7 @@
     let mut table = table(10);
     expect_that!(table.begin(&key(1, 500), 1, 0), matches_pattern!(KeyDecision::Run(eq(&1))));
     expect_that!(table.begin(&key(1, 500), 2, 1), matches_pattern!(KeyDecision::Joined));
-    expect_that!(table.finish(&key(1, 500), KeyEnd::Ran(Some(Arc::new(Response(10))))), eq(&vec![2]));
+    expect_that!(table.finish(&key(1, 500), KeyOutcome::Ran(Some(Arc::new(Response(10))))), eq(&vec![2]));
     expect_that!(table.begin(&key(1, 500), 3, 2), matches_pattern!(KeyDecision::Replay(_)));
 }
 
@@ -46,7 +46,7 @@
 fn key_reported_as_not_run_is_never_run() {
     let mut table = table(10);
     table.begin(&key(1, 500), 1, 0);
-    table.finish(&key(1, 500), KeyEnd::NotRun(ErrorKind::DeadlinePassed));
+    table.finish(&key(1, 500), KeyOutcome::NotRun(ErrorKind::DeadlinePassed));
     let again = table.begin(&key(1, 500), 2, 1);
     expect_that!(again, matches_pattern!(KeyDecision::Refuse(eq(&ErrorKind::DeadlinePassed))));
 }
@@ -94,7 +94,7 @@
     let mut table = table(2);
     for id in 0..2 {
         table.begin(&key(id, 500), 0, 0);
-        table.finish(&key(id, 500), KeyEnd::Ran(Some(Arc::new(Response(80)))));
+        table.finish(&key(id, 500), KeyOutcome::Ran(Some(Arc::new(Response(80)))));
     }
     // The second response did not fit beside the first, so only the fact that it ran is recorded.
     expect_that!(
@@ -159,11 +159,11 @@
                     }
                 }
                 Step::FinishRan(id) if running.remove(&id) => {
-                    table.finish(&key(id, 700), KeyEnd::Ran(Some(Arc::new(Response(30)))));
+                    table.finish(&key(id, 700), KeyOutcome::Ran(Some(Arc::new(Response(30)))));
                 }
                 Step::FinishNotRun(id) if running.remove(&id) => {
                     ran.remove(&id);
-                    table.finish(&key(id, 700), KeyEnd::NotRun(ErrorKind::Overloaded));
+                    table.finish(&key(id, 700), KeyOutcome::NotRun(ErrorKind::Overloaded));
                     reported_not_run.insert(id);
                 }
                 Step::AdvanceMs(time_ms) => now_ms += time_ms,
--- a/crates/pointvane-balance/tests/limits.rs
+++ b/crates/pointvane-balance/tests/limits.rs
@@ -5,7 +5,7 @@
 use {
     common::service,
     googletest::prelude::*,
-    pointvane_balance::{Arrival, AttemptEnd, AttemptResult, Decision, ServiceBalancer},
+    pointvane_balance::{Arrival, AttemptOutcome, AttemptResult, Decision, ServiceBalancer},
     pointvane_config::FleetLimits,
     pointvane_core::{Class, ErrorKind, LimitNotice, LimitRank, LoadReport, US_PER_MS, US_PER_S},
 };
@@ -53,11 +53,11 @@
         let now_us = self.now_us;
         let upstreams = self.balancers[entry_vm].service().upstreams.len();
         for index in 0..upstreams {
-            self.balancers[entry_vm].reported(index, LoadReport::default(), now_us);
+            self.balancers[entry_vm].record_report(index, LoadReport::default(), now_us);
         }
         let rank = LimitRank { rank: entry_vm, processes: ENTRY_VMS, reachable_share: 1.0 };
         self.balancers[entry_vm].update_limit_ranks(|_| Some(rank), now_us);
-        for observed in self.balancers[entry_vm].take_limits(12, now_us) {
+        for observed in self.balancers[entry_vm].take_limit_announcements(12, now_us) {
             self.balancers.iter_mut().for_each(|balancer| balancer.observe_limit(&observed, now_us));
         }
     }
@@ -73,8 +73,9 @@
                     balancer.record_limit(0, self.limit, Some(now_us), now_us);
                 }
                 let report = Some(LoadReport::default());
-                let end = AttemptEnd::Answered;
-                balancer.finish(&AttemptResult { upstream, end, latency_us: US_PER_MS, report }, now_us);
+                let end = AttemptOutcome::Answered;
+                balancer
+                    .finish_attempt(&AttemptResult { upstream, end, latency_us: US_PER_MS, report }, now_us);
             }
             Decision::Refuse { kind, .. } => self.refused.push(kind),
             Decision::Wait => panic!("all upstreams have room"),
@@ -141,14 +142,14 @@
 fn high_limit_withholds_no_requests_before_ranks_are_assigned() {
     let limits = FleetLimits { entry_vms_max: ENTRY_VMS as u32, ..FleetLimits::default() };
     let mut balancer: ServiceBalancer<u32> = ServiceBalancer::new(&service(1), &limits, 1, START_US);
-    balancer.reported(0, LoadReport::default(), START_US);
+    balancer.record_report(0, LoadReport::default(), START_US);
     balancer.record_limit(0, LimitNotice::Advertised(100_000_000), Some(START_US), START_US);
     for step in 1..=50 {
         let now_us = START_US + step * 5 * US_PER_MS;
         let arrival = Arrival { class: Class::Routine, deadline_us: now_us + US_PER_S };
         let decision = balancer.arrive(arrival, 0, now_us);
         expect_that!(decision, matches_pattern!(Decision::Start { upstream: eq(&0), .. }), "{step}");
-        let (end, report) = (AttemptEnd::Answered, Some(LoadReport::default()));
-        balancer.finish(&AttemptResult { upstream: 0, end, latency_us: US_PER_MS, report }, now_us);
+        let (end, report) = (AttemptOutcome::Answered, Some(LoadReport::default()));
+        balancer.finish_attempt(&AttemptResult { upstream: 0, end, latency_us: US_PER_MS, report }, now_us);
     }
 }
--- a/crates/pointvane-balance/tests/service.rs
+++ b/crates/pointvane-balance/tests/service.rs
@@ -5,7 +5,7 @@
 use {
     common::{SLOTS, service},
     googletest::prelude::*,
-    pointvane_balance::{Arrival, AttemptEnd, AttemptResult, Decision, Dispatch, ServiceBalancer},
+    pointvane_balance::{Arrival, AttemptOutcome, AttemptResult, Decision, Dispatch, ServiceBalancer},
     pointvane_config::{AdmissionOptions, EjectionOptions, FleetLimits, Service},
     pointvane_core::{Class, ErrorKind, LoadReport, US_PER_MS, US_PER_S},
 };
@@ -41,7 +41,7 @@
 
     fn report_all(&mut self, in_flight: u16) {
         for index in 0..self.balancer.service().upstreams.len() {
-            self.balancer.reported(
+            self.balancer.record_report(
                 index,
                 LoadReport { in_flight, draining: false, ..LoadReport::default() },
                 self.now_us,
@@ -67,13 +67,13 @@
         }
     }
 
-    fn finish(&mut self, upstream: usize, end: AttemptEnd, latency_ms: u64, report: Option<LoadReport>) {
+    fn finish(&mut self, upstream: usize, end: AttemptOutcome, latency_ms: u64, report: Option<LoadReport>) {
         let result = AttemptResult { upstream, end, latency_us: latency_ms * US_PER_MS, report };
-        self.balancer.finish(&result, self.now_us);
+        self.balancer.finish_attempt(&result, self.now_us);
     }
 
     /// Starts a request, advances the clock by 10 ms and ends the request.
-    fn run(&mut self, end: AttemptEnd) -> usize {
+    fn run(&mut self, end: AttemptOutcome) -> usize {
         let upstream = self.start();
         self.advance_ms(10);
         self.finish(upstream, end, 10, None);
@@ -91,14 +91,14 @@
     expect_that!(harness.arrive(Class::Routine), eq(&Decision::Wait));
     let probed = harness.balancer.next_probe(harness.now_us).unwrap();
     expect_that!(harness.dispatch(), none());
-    harness.balancer.reported(probed, LoadReport::default(), harness.now_us);
+    harness.balancer.record_report(probed, LoadReport::default(), harness.now_us);
     expect_that!(harness.dispatch(), some(eq(&Dispatch::Start { upstream: probed, waiter: 1 })));
 }
 
 #[gtest]
 fn stale_evidence_is_refreshed_by_a_probe_before_new_requests_start() {
     let mut harness = Harness::new(&service(1));
-    harness.run(AttemptEnd::Answered);
+    harness.run(AttemptOutcome::Answered);
     harness.advance_ms(2_100);
     expect_that!(harness.arrive(Class::Routine), eq(&Decision::Wait));
     expect_that!(harness.balancer.next_probe(harness.now_us), some(eq(0)));
@@ -108,16 +108,16 @@
 fn leaving_upstream_gets_no_requests_until_it_reports_staying() {
     let mut harness = Harness::new(&service(2));
     harness.advance_ms(1);
-    harness.balancer.reported(
+    harness.balancer.record_report(
         0,
         LoadReport { in_flight: 0, draining: true, ..LoadReport::default() },
         harness.now_us,
     );
     for _ in 0..50 {
-        expect_that!(harness.run(AttemptEnd::Answered), eq(1));
-        harness.balancer.reported(1, LoadReport::default(), harness.now_us);
+        expect_that!(harness.run(AttemptOutcome::Answered), eq(1));
+        harness.balancer.record_report(1, LoadReport::default(), harness.now_us);
     }
-    harness.balancer.reported(0, LoadReport::default(), harness.now_us);
+    harness.balancer.record_report(0, LoadReport::default(), harness.now_us);
     let selected: Vec<_> = (0..20).map(|_| harness.start()).collect();
     expect_that!(selected, contains(eq(&0)));
 }
@@ -129,7 +129,7 @@
     let staying = sender.balancer.observations(10, sender.now_us);
     let mut harness = Harness::new(&service(1));
     harness.advance_ms(50);
-    harness.balancer.reported(
+    harness.balancer.record_report(
         0,
         LoadReport { in_flight: 0, draining: true, ..LoadReport::default() },
         harness.now_us,
@@ -147,7 +147,7 @@
 fn reports_of_leaving_are_forwarded_between_entry_vms() {
     let mut sender = Harness::new(&service(2));
     sender.advance_ms(1);
-    sender.balancer.reported(
+    sender.balancer.record_report(
         1,
         LoadReport { in_flight: 3, draining: true, ..LoadReport::default() },
         sender.now_us,
@@ -188,7 +188,7 @@
         harness.advance_ms(1);
         let failing = upstream == 0;
         failed += u32::from(failing);
-        let end = if failing { AttemptEnd::Failed } else { AttemptEnd::Answered };
+        let end = if failing { AttemptOutcome::Failed } else { AttemptOutcome::Answered };
         harness.finish(upstream, end, 1, Some(LoadReport::default()));
     }
     expect_that!(failed, le(u32::from(EjectionOptions::default().failures)));
@@ -207,7 +207,7 @@
         harness.advance_ms(10);
         let latency_ms = if upstream == 0 && !has_been_slow { 400 } else { 10 };
         has_been_slow |= upstream == 0;
-        harness.finish(upstream, AttemptEnd::Answered, latency_ms, None);
+        harness.finish(upstream, AttemptOutcome::Answered, latency_ms, None);
         harness.report_all(0);
         upstream
     };
@@ -226,12 +226,12 @@
     let mut pending = Vec::new();
     while !harness.balancer.summaries(harness.now_us)[0].ejected {
         match harness.start() {
-            0 => harness.finish(0, AttemptEnd::Failed, 1, Some(LoadReport::default())),
+            0 => harness.finish(0, AttemptOutcome::Failed, 1, Some(LoadReport::default())),
             other => pending.push(other),
         }
     }
     for upstream in pending {
-        harness.finish(upstream, AttemptEnd::Answered, 1, Some(LoadReport::default()));
+        harness.finish(upstream, AttemptOutcome::Answered, 1, Some(LoadReport::default()));
     }
     harness.advance_ms(1_001);
     harness.report_all(0);
@@ -244,7 +244,7 @@
     let mut harness = Harness::new(&service(4));
     for _ in 0..100 {
         let upstream = harness.start();
-        harness.finish(upstream, AttemptEnd::Failed, 1, Some(LoadReport::default()));
+        harness.finish(upstream, AttemptOutcome::Failed, 1, Some(LoadReport::default()));
     }
     let ejected = harness.balancer.summaries(harness.now_us).iter().filter(|summary| summary.ejected).count();
     expect_that!(ejected, eq(2));
@@ -258,7 +258,7 @@
         let upstream = harness.start();
         harness.advance_ms(6);
         if harness.balancer.in_flight() > 4 {
-            harness.finish(upstream, AttemptEnd::Answered, 6, Some(LoadReport::default()));
+            harness.finish(upstream, AttemptOutcome::Answered, 6, Some(LoadReport::default()));
         }
         if harness.balancer.in_flight() > 8 {
             break;
@@ -287,7 +287,7 @@
         harness.advance_ms(5);
         harness.finish(
             0,
-            AttemptEnd::Answered,
+            AttemptOutcome::Answered,
             5,
             Some(LoadReport { in_flight: SLOTS - 1, draining: false, ..LoadReport::default() }),
         );
@@ -328,9 +328,9 @@
         if let Some(second) = harness.balancer.retry(upstream, harness.now_us) {
             retries += 1;
             expect_that!(second, not(eq(upstream)));
-            harness.finish(second, AttemptEnd::Cancelled, 1, None);
+            harness.finish(second, AttemptOutcome::Cancelled, 1, None);
         }
-        harness.finish(upstream, AttemptEnd::Cancelled, 1, Some(LoadReport::default()));
+        harness.finish(upstream, AttemptOutcome::Cancelled, 1, Some(LoadReport::default()));
     }
     // Without any success only the initial tokens of the budget are available.
     expect_that!(retries, eq(10));
@@ -340,8 +340,8 @@
 fn hedges_are_sent_only_while_upstreams_have_spare_capacity() {
     let mut harness = Harness::new(&service(3));
     for _ in 0..100 {
-        let upstream = harness.run(AttemptEnd::Answered);
-        harness.balancer.reported(upstream, LoadReport::default(), harness.now_us);
+        let upstream = harness.run(AttemptOutcome::Answered);
+        harness.balancer.record_report(upstream, LoadReport::default(), harness.now_us);
     }
     expect_that!(harness.balancer.hedge_after_us(), some(eq(20 * US_PER_MS)));
     let first = harness.start();
@@ -360,10 +360,10 @@
     reduced.upstreams.retain(|configured| configured.name != name);
     harness.balancer.configure(&reduced, &limits(), harness.now_us);
     for _ in 0..20 {
-        expect_that!(harness.run(AttemptEnd::Answered), not(eq(upstream)));
+        expect_that!(harness.run(AttemptOutcome::Answered), not(eq(upstream)));
         harness.report_all(0);
     }
-    harness.finish(upstream, AttemptEnd::Answered, 100, None);
+    harness.finish(upstream, AttemptOutcome::Answered, 100, None);
     expect_that!(harness.balancer.in_flight(), eq(0));
 }
 
@@ -371,11 +371,11 @@
 fn starting_and_finishing_a_request_does_not_allocate() {
     for upstreams in [36, 200] {
         let mut harness = Harness::new(&service(upstreams));
-        let first = harness.run(AttemptEnd::Answered);
+        let first = harness.run(AttemptOutcome::Answered);
         let allocations = allocation_counter::measure(|| {
             for _ in 0..1_000 {
                 let upstream = harness.start();
-                harness.finish(upstream, AttemptEnd::Answered, 15, Some(LoadReport::default()));
+                harness.finish(upstream, AttemptOutcome::Answered, 15, Some(LoadReport::default()));
             }
         });
         expect_that!(allocations.count_total, eq(0), "{upstreams} upstreams, first {first}");
@@ -423,11 +423,11 @@
 #[gtest]
 fn upstream_that_is_backing_off_gets_no_requests_or_probes() {
     let mut harness = Harness::new(&service(2));
-    harness.balancer.back_off(0, 3 * US_PER_S, harness.now_us);
+    harness.balancer.record_back_off(0, 3 * US_PER_S, harness.now_us);
     for _ in 0..29 {
         harness.report_all(0);
         harness.advance_ms(90);
-        expect_that!(harness.run(AttemptEnd::Answered), eq(1));
+        expect_that!(harness.run(AttemptOutcome::Answered), eq(1));
         expect_that!(harness.balancer.next_probe(harness.now_us), not(some(eq(0))));
         expect_that!(harness.balancer.summaries(harness.now_us)[0].back_in_ms, some(anything()));
     }
@@ -436,7 +436,7 @@
     harness.report_all(0);
     let upstreams: Vec<usize> = (0..6).map(|_| harness.start()).collect();
     expect_that!(upstreams.iter().filter(|upstream| **upstream == 0).count(), eq(1));
-    harness.finish(0, AttemptEnd::Answered, 10, Some(LoadReport::default()));
+    harness.finish(0, AttemptOutcome::Answered, 10, Some(LoadReport::default()));
     let upstreams: Vec<usize> = (0..4).map(|_| harness.start()).collect();
     expect_that!(upstreams.iter().filter(|upstream| **upstream == 0).count(), ge(2));
 }
@@ -444,8 +444,8 @@
 #[gtest]
 fn requests_are_refused_with_a_retry_time_when_all_upstreams_back_off() {
     let mut harness = Harness::new(&service(2));
-    harness.balancer.back_off(0, 8 * US_PER_S, harness.now_us);
-    harness.balancer.back_off(1, 6 * US_PER_S, harness.now_us);
+    harness.balancer.record_back_off(0, 8 * US_PER_S, harness.now_us);
+    harness.balancer.record_back_off(1, 6 * US_PER_S, harness.now_us);
     let refused = Decision::Refuse { kind: ErrorKind::UpstreamsBackingOff, waiter: 1 };
     expect_that!(harness.arrive(Class::Routine), eq(&refused));
     let retry_after_s = harness.balancer.retry_after_s(ErrorKind::UpstreamsBackingOff, harness.now_us);
@@ -458,7 +458,7 @@
 fn queued_requests_are_refused_when_all_upstreams_back_off() {
     let mut harness = Harness::without_reports(&service(1));
     expect_that!(harness.arrive(Class::Routine), eq(&Decision::Wait));
-    harness.balancer.back_off(0, 2 * US_PER_S, harness.now_us);
+    harness.balancer.record_back_off(0, 2 * US_PER_S, harness.now_us);
     let refused = Dispatch::Refuse { kind: ErrorKind::UpstreamsBackingOff, waiter: 1 };
     expect_that!(harness.dispatch(), some(eq(&refused)));
 }
@@ -468,7 +468,7 @@
     let mut harness = Harness::new(&service(1));
     let upstream = harness.start();
     expect_that!(harness.balancer.is_backing_off(upstream, harness.now_us), eq(false));
-    harness.balancer.back_off(upstream, US_PER_S, harness.now_us);
+    harness.balancer.record_back_off(upstream, US_PER_S, harness.now_us);
     expect_that!(harness.balancer.is_backing_off(upstream, harness.now_us), eq(true));
 }
 
@@ -477,10 +477,10 @@
 #[gtest]
 fn retry_skips_upstreams_without_reports() {
     let mut harness = Harness::without_reports(&service(3));
-    harness.balancer.reported(0, LoadReport::default(), harness.now_us);
+    harness.balancer.record_report(0, LoadReport::default(), harness.now_us);
     let upstream = harness.start();
-    harness.finish(upstream, AttemptEnd::Failed, 1, None);
+    harness.finish(upstream, AttemptOutcome::Failed, 1, None);
     expect_that!(harness.balancer.retry(upstream, harness.now_us), none());
-    harness.balancer.reported(1, LoadReport::default(), harness.now_us);
+    harness.balancer.record_report(1, LoadReport::default(), harness.now_us);
     expect_that!(harness.balancer.retry(upstream, harness.now_us), some(eq(1)));
 }
--- a/crates/pointvane-entry/src/body.rs
+++ b/crates/pointvane-entry/src/body.rs
@@ -7,7 +7,7 @@
     bytes::Bytes,
     http_body_util::Full,
     hyper::body::{Body, Frame, Incoming, SizeHint},
-    pointvane_balance::AttemptEnd,
+    pointvane_balance::AttemptOutcome,
     std::{
         convert::Infallible,
         pin::Pin,
@@ -21,7 +21,7 @@
     incoming: Incoming,
     connection: Option<Connection>,
     attempt: Option<Attempt>,
-    end: AttemptEnd,
+    end: AttemptOutcome,
 }
 
 impl UpstreamBody {
@@ -31,7 +31,7 @@
         incoming: Incoming,
         connection: Connection,
         attempt: Option<Attempt>,
-        end: AttemptEnd,
+        end: AttemptOutcome,
     ) -> Self {
         let mut body = Self { incoming, connection: Some(connection), attempt, end };
         if body.incoming.is_end_stream() {
@@ -52,7 +52,7 @@
     fn fail(&mut self) {
         self.connection = None;
         if let Some(attempt) = self.attempt.take() {
-            attempt.end(AttemptEnd::Failed);
+            attempt.end(AttemptOutcome::Failed);
         }
     }
 }
--- a/crates/pointvane-entry/src/entry.rs
+++ b/crates/pointvane-entry/src/entry.rs
@@ -139,7 +139,7 @@
             let now_us = service.now_us();
             let mut balancer = service.lock();
             for vm in &list.vms {
-                balancer.listed(&vm.name, vm.leaving, now_us);
+                balancer.apply_vm_list(&vm.name, vm.leaving, now_us);
             }
         }
     }
--- a/crates/pointvane-entry/src/exchange.rs
+++ b/crates/pointvane-entry/src/exchange.rs
@@ -72,7 +72,7 @@
     let mut remaining = LIMITS_PER_DATAGRAM_MAX;
     let mut service_limits = Vec::new();
     for (position, service) in entry.routes().services.iter().enumerate() {
-        let limits = service.lock().take_limits(remaining, service.now_us());
+        let limits = service.lock().take_limit_announcements(remaining, service.now_us());
         remaining -= limits.len();
         if !limits.is_empty() {
             service_limits.push(ServiceLimits { position: position as u16, limits });
--- a/crates/pointvane-entry/src/forward.rs
+++ b/crates/pointvane-entry/src/forward.rs
@@ -12,7 +12,7 @@
         outgoing::OutgoingRequest,
         request_body::RequestBody,
         service::Attempt,
-        try_upstream::{AttemptOutcome, attempt_hedged, attempt_once},
+        try_upstream::{UpstreamAttempt, attempt_hedged, attempt_once},
     },
     hyper::Response,
     pointvane_core::ErrorKind,
@@ -82,7 +82,7 @@
         attempt: Attempt,
         connections: &ConnectionPool,
         counters: &EntryCounters,
-    ) -> AttemptOutcome {
+    ) -> UpstreamAttempt {
         if self.retryable {
             return attempt_hedged(self.outgoing, attempt, connections, counters).await;
         }
@@ -92,13 +92,13 @@
     /// Decides what follows an attempt at `upstream`: the response for the caller, or another attempt.
     fn next_step(
         &mut self,
-        outcome: AttemptOutcome,
+        outcome: UpstreamAttempt,
         upstream: usize,
         is_last: bool,
     ) -> Result<NextStep, ErrorKind> {
         let service = &self.outgoing.request.service;
         let (next, failure) = match outcome {
-            AttemptOutcome::ErrorResponse(response) if self.retryable && !is_last => {
+            UpstreamAttempt::ErrorResponse(response) if self.retryable && !is_last => {
                 // Drops the error response and with it its connection.
                 let Some(next) = service.retry(upstream) else {
                     return Ok(NextStep::Break(response));
@@ -106,18 +106,18 @@
                 self.may_have_run = true;
                 (Some(next), ErrorKind::UpstreamBroken)
             }
-            AttemptOutcome::Response(response) | AttemptOutcome::ErrorResponse(response) => {
+            UpstreamAttempt::Response(response) | UpstreamAttempt::ErrorResponse(response) => {
                 return Ok(NextStep::Break(response));
             }
-            AttemptOutcome::Unsent(unsent, kind) => {
+            UpstreamAttempt::Unsent(unsent, kind) => {
                 self.body = unsent;
                 (service.redirect(upstream), kind)
             }
-            AttemptOutcome::Broken(ErrorKind::UpstreamBroken) if self.retryable => {
+            UpstreamAttempt::Broken(ErrorKind::UpstreamBroken) if self.retryable => {
                 self.may_have_run = true;
                 (service.retry(upstream), ErrorKind::UpstreamBroken)
             }
-            AttemptOutcome::Broken(kind) => return Err(self.final_error(kind)),
+            UpstreamAttempt::Broken(kind) => return Err(self.final_error(kind)),
         };
         let attempt = next.ok_or(self.final_error(failure))?;
         Ok(NextStep::Continue(NextAttempt { attempt, failure }))
--- a/crates/pointvane-entry/src/kept_answer.rs
+++ b/crates/pointvane-entry/src/kept_answer.rs
@@ -4,7 +4,7 @@
     crate::body::ResponseBody,
     bytes::Bytes,
     hyper::{HeaderMap, Response, StatusCode},
-    pointvane_balance::Kept,
+    pointvane_balance::ResponseSize,
     pointvane_core::ErrorKind,
     tokio::sync::oneshot,
 };
@@ -26,7 +26,7 @@
     pub body: Bytes,
 }
 
-impl Kept for StoredResponse {
+impl ResponseSize for StoredResponse {
     fn size_bytes(&self) -> usize {
         let headers: usize = self.headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
         headers + self.body.len()
--- a/crates/pointvane-entry/src/keyed.rs
+++ b/crates/pointvane-entry/src/keyed.rs
@@ -18,7 +18,7 @@
     bytes::{Bytes, BytesMut},
     http_body_util::BodyExt,
     hyper::{Response, http::request::Parts},
-    pointvane_balance::{KeyDecision, KeyEnd},
+    pointvane_balance::{KeyDecision, KeyOutcome},
     pointvane_core::{ErrorKind, IdempotencyKey, Incarnation, Name, Outcome, header},
     std::{
         net::SocketAddr,
@@ -52,7 +52,7 @@
         KeyDecision::Joined => receiver.await.unwrap_or(Err(ErrorKind::UpstreamBroken)),
         KeyDecision::Replay(stored) => Ok(stored.response()),
         KeyDecision::Refuse(kind) => Err(kind),
-        KeyDecision::PassOn { vm, incarnation } => {
+        KeyDecision::Forward { vm, incarnation } => {
             forward_to_owner(entry, &request, head, body, &vm, incarnation).await
         }
     }
@@ -91,8 +91,8 @@
 
 fn finish_refused(entry: &Entry, key: &IdempotencyKey, first_sender: ResponseSender, kind: ErrorKind) {
     let end = match kind.answer().outcome {
-        Outcome::NotRun => KeyEnd::NotRun(kind),
-        Outcome::Unknown | Outcome::Answered => KeyEnd::Ran(None),
+        Outcome::NotRun => KeyOutcome::NotRun(kind),
+        Outcome::Unknown | Outcome::Answered => KeyOutcome::Ran(None),
     };
     let waiters = entry.keys().finish(key, end);
     for sender in waiters.into_iter().chain([first_sender]) {
@@ -123,7 +123,7 @@
         }
         BodyPrefix::Failed => (None, Err(ErrorKind::UpstreamBroken)),
     };
-    let waiters = entry.keys().finish(key, KeyEnd::Ran(stored.clone()));
+    let waiters = entry.keys().finish(key, KeyOutcome::Ran(stored.clone()));
     for sender in waiters {
         let result = stored.as_ref().map(|stored| stored.response()).ok_or(ErrorKind::AnswerNotKept);
         let _ = sender.send(result);
@@ -189,6 +189,6 @@
     // An earlier copy may have run at the owner, so the outcome is unknown even if this request was not sent.
     let response = result.map_err(|_| ErrorKind::UpstreamTimeout)?.map_err(|_| ErrorKind::KeyOwnerGone)?;
     let response = response
-        .map(|body| UpstreamBody::new(body, connection, None, pointvane_balance::AttemptEnd::Answered));
+        .map(|body| UpstreamBody::new(body, connection, None, pointvane_balance::AttemptOutcome::Answered));
     Ok(proxy_entry_response(response))
 }
--- a/crates/pointvane-entry/src/notice_recorder.rs
+++ b/crates/pointvane-entry/src/notice_recorder.rs
@@ -29,10 +29,10 @@
         let now_us = self.service.now_us();
         let mut balancer = self.service.lock();
         if let Some(report) = notices.report {
-            balancer.reported(self.upstream, report, now_us);
+            balancer.record_report(self.upstream, report, now_us);
         }
         if let Some(for_us) = notices.back_off_us {
-            balancer.back_off(self.upstream, for_us, now_us);
+            balancer.record_back_off(self.upstream, for_us, now_us);
         }
         balancer.record_limit(self.upstream, notices.limit, None, now_us);
     }
--- a/crates/pointvane-entry/src/service.rs
+++ b/crates/pointvane-entry/src/service.rs
@@ -2,7 +2,7 @@
 
 use {
     pointvane_balance::{
-        Arrival, AttemptEnd, AttemptResult, Decision, Dispatch, ServiceBalancer, UpstreamSummary,
+        Arrival, AttemptOutcome, AttemptResult, Decision, Dispatch, ServiceBalancer, UpstreamSummary,
     },
     pointvane_config::{FleetLimits, Service},
     pointvane_core::{Clock, ErrorKind, LimitNotice, LoadReport, Name, US_PER_S},
@@ -170,8 +170,8 @@
     }
 
     /// Records that the upstream asks for no requests for `for_us` microseconds.
-    pub fn back_off(&self, for_us: u64) {
-        self.service.lock().back_off(self.upstream, for_us, self.service.now_us());
+    pub fn record_back_off(&self, for_us: u64) {
+        self.service.lock().record_back_off(self.upstream, for_us, self.service.now_us());
     }
 
     /// Records the upstream's request limit from the head of the response.
@@ -191,18 +191,18 @@
     }
 
     /// Ends the attempt and dispatches waiting requests.
-    pub fn end(mut self, end: AttemptEnd) {
+    pub fn end(mut self, end: AttemptOutcome) {
         self.finish(end);
     }
 
-    fn finish(&mut self, end: AttemptEnd) {
+    fn finish(&mut self, end: AttemptOutcome) {
         self.ended = true;
         let now_us = self.service.now_us();
         let latency_us = now_us.saturating_sub(self.started_us);
         let result = AttemptResult { upstream: self.upstream, end, latency_us, report: self.report };
         let waiting = {
             let mut balancer = self.service.lock();
-            balancer.finish(&result, now_us);
+            balancer.finish_attempt(&result, now_us);
             balancer.waiting()
         };
         if waiting > 0 {
@@ -214,7 +214,7 @@
 impl Drop for Attempt {
     fn drop(&mut self) {
         if !self.ended {
-            self.finish(AttemptEnd::Cancelled);
+            self.finish(AttemptOutcome::Cancelled);
         }
     }
 }
--- a/crates/pointvane-entry/src/try_upstream.rs
+++ b/crates/pointvane-entry/src/try_upstream.rs
@@ -13,7 +13,7 @@
         service::Attempt,
     },
     hyper::{Response, StatusCode, body::Incoming},
-    pointvane_balance::AttemptEnd,
+    pointvane_balance::AttemptOutcome,
     pointvane_core::{ErrorKind, HedgeSchedule, US_PER_MS},
     std::time::Duration,
     tokio::time::{Instant, sleep_until, timeout_at},
@@ -22,7 +22,7 @@
 const MS_PER_S: f64 = 1_000.0;
 
 /// Result of one attempt.
-pub enum AttemptOutcome {
+pub enum UpstreamAttempt {
     /// The head of a response was received.
     Response(Response<UpstreamBody>),
     /// An error response that reports a failure of the upstream. It goes to the caller if no other attempt
@@ -41,7 +41,7 @@
     attempt: Attempt,
     connections: &ConnectionPool,
     counters: &EntryCounters,
-) -> AttemptOutcome {
+) -> UpstreamAttempt {
     let first = attempt.upstream();
     let hedge_after_us = outgoing.request.service.lock().hedge_after_us();
     let first_attempt = attempt_once(outgoing, RequestBody::Empty, attempt, connections, counters);
@@ -73,8 +73,11 @@
 }
 
 /// Returns `outcome` if it is a usable response, or else the outcome of the other attempt.
-async fn success_or(outcome: AttemptOutcome, other: impl Future<Output = AttemptOutcome>) -> AttemptOutcome {
-    if matches!(outcome, AttemptOutcome::Response(_)) { outcome } else { other.await }
+async fn success_or(
+    outcome: UpstreamAttempt,
+    other: impl Future<Output = UpstreamAttempt>,
+) -> UpstreamAttempt {
+    if matches!(outcome, UpstreamAttempt::Response(_)) { outcome } else { other.await }
 }
 
 /// Sends a request to one upstream and waits for the head of its response.
@@ -84,19 +87,19 @@
     attempt: Attempt,
     connections: &ConnectionPool,
     counters: &EntryCounters,
-) -> AttemptOutcome {
+) -> UpstreamAttempt {
     let give_up_at = outgoing.give_up_at(!body.is_empty());
     let Ok(connection) = connections.acquire(attempt.address()).await else {
-        attempt.end(AttemptEnd::Failed);
-        return AttemptOutcome::Unsent(body, ErrorKind::UpstreamUnreachable);
+        attempt.end(AttemptOutcome::Failed);
+        return UpstreamAttempt::Unsent(body, ErrorKind::UpstreamUnreachable);
     };
     // Checked again right before the first byte is sent, as the process may have been paused.
     if outgoing.remaining_us() == 0 {
-        return AttemptOutcome::Broken(ErrorKind::DeadlinePassed);
+        return UpstreamAttempt::Broken(ErrorKind::DeadlinePassed);
     }
     if attempt.is_upstream_backing_off() {
-        attempt.end(AttemptEnd::Cancelled);
-        return AttemptOutcome::Unsent(body, ErrorKind::UpstreamsBackingOff);
+        attempt.end(AttemptOutcome::Cancelled);
+        return UpstreamAttempt::Unsent(body, ErrorKind::UpstreamsBackingOff);
     }
     counters.attempted();
     let answer_deadline_us = outgoing.request.deadline_us;
@@ -112,18 +115,18 @@
             handle_response(response, attempt, connection)
         }
         Ok((_, Err(error))) => handle_send_error(error, attempt),
-        Err(_) => AttemptOutcome::Broken(ErrorKind::UpstreamTimeout),
+        Err(_) => UpstreamAttempt::Broken(ErrorKind::UpstreamTimeout),
     }
 }
 
 /// Ends an attempt whose connection failed without a response.
-fn handle_send_error(error: SendError, attempt: Attempt) -> AttemptOutcome {
-    attempt.end(AttemptEnd::Failed);
+fn handle_send_error(error: SendError, attempt: Attempt) -> UpstreamAttempt {
+    attempt.end(AttemptOutcome::Failed);
     match error {
         SendError::Unsent(request) => {
-            AttemptOutcome::Unsent(request.into_body(), ErrorKind::UpstreamUnreachable)
+            UpstreamAttempt::Unsent(request.into_body(), ErrorKind::UpstreamUnreachable)
         }
-        SendError::Broken => AttemptOutcome::Broken(ErrorKind::UpstreamBroken),
+        SendError::Broken => UpstreamAttempt::Broken(ErrorKind::UpstreamBroken),
     }
 }
 
@@ -132,28 +135,28 @@
     response: Response<Incoming>,
     mut attempt: Attempt,
     connection: Connection,
-) -> AttemptOutcome {
+) -> UpstreamAttempt {
     let notices = UpstreamNotices::from_response(&response);
     attempt.set_report(notices.report);
     // Recorded at the head rather than the end of the body: no other requests may be sent there meanwhile.
     if let Some(for_us) = notices.back_off_us {
-        attempt.back_off(for_us);
+        attempt.record_back_off(for_us);
     }
     attempt.record_limit(notices.limit);
-    let end = attempt_end(response.status());
+    let end = attempt_outcome(response.status());
     let response = response.map(|body| UpstreamBody::new(body, connection, Some(attempt), end));
-    if end == AttemptEnd::Answered {
-        AttemptOutcome::Response(response)
+    if end == AttemptOutcome::Answered {
+        UpstreamAttempt::Response(response)
     } else {
-        AttemptOutcome::ErrorResponse(response)
+        UpstreamAttempt::ErrorResponse(response)
     }
 }
 
 /// Result of an attempt by the status of its response.
-fn attempt_end(status: StatusCode) -> AttemptEnd {
+fn attempt_outcome(status: StatusCode) -> AttemptOutcome {
     match status {
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => AttemptEnd::Shed,
-        status if status.is_server_error() => AttemptEnd::Failed,
-        _ => AttemptEnd::Answered,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => AttemptOutcome::Shed,
+        status if status.is_server_error() => AttemptOutcome::Failed,
+        _ => AttemptOutcome::Answered,
     }
 }
