--- a/crates/pointvane-entry/src/try_upstream.rs
+++ b/crates/pointvane-entry/src/attempt.rs
@@ -2,15 +2,15 @@
 
 use {
     crate::{
-        answer_wait,
-        body::UpstreamBody,
-        connections::{Connection, ConnectionPool, SendError},
+        connection_pool::{Connection, ConnectionPool, SendError},
         counters::EntryCounters,
-        head_notices::UpstreamNotices,
         notice_recorder::NoticeRecorder,
         outgoing::OutgoingRequest,
         request_body::RequestBody,
+        response_body::UpstreamBody,
+        response_wait,
         service::Attempt,
+        upstream_notices::UpstreamNotices,
     },
     hyper::{Response, StatusCode, body::Incoming},
     pointvane_balance::AttemptOutcome,
@@ -103,7 +103,7 @@
     }
     counters.attempted();
     let answer_deadline_us = outgoing.request.deadline_us;
-    let response_wait = answer_wait::send(
+    let response_wait = response_wait::send(
         connection,
         outgoing.build(body),
         NoticeRecorder::from(&attempt),
--- a/crates/pointvane-entry/src/entry.rs
+++ b/crates/pointvane-entry/src/entry.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        connections::ConnectionPool,
+        connection_pool::ConnectionPool,
         counters::EntryCounters,
-        kept_answer::{ResponseSender, StoredResponse},
         members::Members,
         routes::Routes,
         service::ServiceHandle,
+        stored_response::{ResponseSender, StoredResponse},
         transitions::TransitionTracker,
     },
     pointvane_balance::{KeyTable, KeyTableOptions},
--- a/crates/pointvane-entry/src/forward.rs
+++ b/crates/pointvane-entry/src/forward.rs
@@ -6,13 +6,13 @@
 
 use {
     crate::{
-        body::UpstreamBody,
-        connections::ConnectionPool,
+        attempt::{UpstreamAttempt, attempt_hedged, attempt_once},
+        connection_pool::ConnectionPool,
         counters::EntryCounters,
         outgoing::OutgoingRequest,
         request_body::RequestBody,
+        response_body::UpstreamBody,
         service::Attempt,
-        try_upstream::{UpstreamAttempt, attempt_hedged, attempt_once},
     },
     hyper::Response,
     pointvane_core::ErrorKind,
--- a/crates/pointvane-entry/src/handle.rs
+++ b/crates/pointvane-entry/src/handle.rs
@@ -3,14 +3,14 @@
 use {
     crate::{
         admit::admit,
-        answer::{error_response, proxy_response, set_connection_close},
-        body::ResponseBody,
         classify::{self, ClassifiedRequest},
         entry::Entry,
         forward::forward,
         keyed::{reject_keyed, serve_keyed},
         outgoing::OutgoingRequest,
         request_body::RequestBody,
+        response::{error_response, proxy_response, set_connection_close},
+        response_body::ResponseBody,
     },
     hyper::{Request, Response, body::Incoming, http::request::Parts},
     pointvane_core::{Clock, ErrorKind, US_PER_S},
--- a/crates/pointvane-entry/src/keyed.rs
+++ b/crates/pointvane-entry/src/keyed.rs
@@ -6,14 +6,14 @@
 use {
     crate::{
         admit::admit,
-        answer::{mark_answered, proxy_entry_response},
-        body::{ResponseBody, UpstreamBody},
         classify::ClassifiedRequest,
         entry::Entry,
         forward::forward,
-        kept_answer::{ResponseSender, STORED_RESPONSE_LIMIT_BYTES, StoredResponse},
         outgoing::OutgoingRequest,
         request_body::RequestBody,
+        response::{mark_answered, proxy_entry_response},
+        response_body::{ResponseBody, UpstreamBody},
+        stored_response::{ResponseSender, STORED_RESPONSE_LIMIT_BYTES, StoredResponse},
     },
     bytes::{Bytes, BytesMut},
     http_body_util::BodyExt,
--- a/crates/pointvane-entry/src/lib.rs
+++ b/crates/pointvane-entry/src/lib.rs
@@ -8,31 +8,31 @@
 #![warn(missing_docs)]
 
 mod admit;
-mod answer;
-mod answer_wait;
-mod body;
+mod attempt;
 mod classify;
-mod connections;
+mod connection_pool;
 mod counters;
 mod entry;
-mod exchange;
 mod feed;
 mod forward;
 mod handle;
-mod head_notices;
-mod kept_answer;
 mod keyed;
+mod load_exchange;
 mod maintain;
 mod members;
 mod notice_recorder;
 mod outgoing;
 mod request_body;
+mod response;
+mod response_body;
+mod response_wait;
 mod routes;
 mod service;
 mod status;
 mod stop;
+mod stored_response;
 mod transitions;
-mod try_upstream;
+mod upstream_notices;
 
 pub use {
     entry::Entry,
--- a/crates/pointvane-entry/src/maintain.rs
+++ b/crates/pointvane-entry/src/maintain.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        entry::Entry, head_notices::UpstreamNotices, notice_recorder::NoticeRecorder,
-        request_body::RequestBody, service::ServiceHandle,
+        entry::Entry, notice_recorder::NoticeRecorder, request_body::RequestBody, service::ServiceHandle,
+        upstream_notices::UpstreamNotices,
     },
     http_body_util::BodyExt,
     hyper::{Request, header::HOST},
--- a/crates/pointvane-entry/src/notice_recorder.rs
+++ b/crates/pointvane-entry/src/notice_recorder.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        head_notices::UpstreamNotices,
         service::{Attempt, ServiceHandle},
+        upstream_notices::UpstreamNotices,
     },
     std::sync::Arc,
 };
--- a/crates/pointvane-entry/src/outgoing.rs
+++ b/crates/pointvane-entry/src/outgoing.rs
@@ -1,7 +1,7 @@
 //! A request as sent to upstreams.
 
 use {
-    crate::{answer::strip_hop_by_hop, classify::ClassifiedRequest, request_body::RequestBody},
+    crate::{classify::ClassifiedRequest, request_body::RequestBody, response::strip_hop_by_hop},
     hyper::{Request, header::HeaderValue, http::request::Parts},
     pointvane_core::{US_PER_MS, header},
     std::time::Duration,
--- a/crates/pointvane-entry/src/answer.rs
+++ b/crates/pointvane-entry/src/response.rs
@@ -1,7 +1,7 @@
 //! Last stage: headers of the responses to callers, and responses for errors.
 
 use {
-    crate::body::{ResponseBody, UpstreamBody},
+    crate::response_body::{ResponseBody, UpstreamBody},
     hyper::{
         HeaderMap, Response, StatusCode,
         header::{CONNECTION, HeaderName, HeaderValue, RETRY_AFTER},
--- a/crates/pointvane-entry/src/body.rs
+++ b/crates/pointvane-entry/src/response_body.rs
@@ -3,7 +3,7 @@
 //! An upstream's body owns the connection that it is read from. Request bodies are in `request_body.rs`.
 
 use {
-    crate::{connections::Connection, service::Attempt},
+    crate::{connection_pool::Connection, service::Attempt},
     bytes::Bytes,
     http_body_util::Full,
     hyper::body::{Body, Frame, Incoming, SizeHint},
--- a/crates/pointvane-entry/src/answer_wait.rs
+++ b/crates/pointvane-entry/src/response_wait.rs
@@ -5,10 +5,10 @@
 
 use {
     crate::{
-        connections::{Connection, SendError},
-        head_notices::UpstreamNotices,
+        connection_pool::{Connection, SendError},
         notice_recorder::NoticeRecorder,
         request_body::RequestBody,
+        upstream_notices::UpstreamNotices,
     },
     hyper::{Request, Response, body::Incoming},
     pointvane_core::SentRequest,
--- a/crates/pointvane-entry/src/stop.rs
+++ b/crates/pointvane-entry/src/stop.rs
@@ -1,7 +1,7 @@
 //! Lifecycle of the process: start, graceful stop, exit.
 
 use {
-    crate::{counters::EntryCounters, entry::Entry, exchange::exchange_load, maintain::maintain},
+    crate::{counters::EntryCounters, entry::Entry, load_exchange::exchange_load, maintain::maintain},
     eyre::{Result, WrapErr},
     pointvane_config::{EntrySettings, Settings},
     pointvane_feed::spawn_feed,
--- a/crates/pointvane-entry/src/kept_answer.rs
+++ b/crates/pointvane-entry/src/stored_response.rs
@@ -1,7 +1,7 @@
 //! Responses to requests with an idempotency key, stored for repeats of the request.
 
 use {
-    crate::body::ResponseBody,
+    crate::response_body::ResponseBody,
     bytes::Bytes,
     hyper::{HeaderMap, Response, StatusCode},
     pointvane_balance::ResponseSize,
