--- a/crates/pointvane-balance/src/service.rs
+++ b/crates/pointvane-balance/src/service.rs
@@ -28,7 +28,7 @@
 
 use {pick::PickError, upstreams::UpstreamRecord};
 pub use {
-    result::{AttemptEnd, AttemptResult},
+    result::{AttemptOutcome, AttemptResult},
     summary::UpstreamSummary,
 };
 
@@ -118,8 +118,8 @@
             others_mean: ServiceMean::default(),
             report_trust: ReportTrust::default(),
             mean_latency_us: 0.0,
-            retry_budget: TokenBucket::earned(RETRY_TOKENS_MAX),
-            hedge_budget: TokenBucket::earned(HEDGE_TOKENS_MAX),
+            retry_budget: TokenBucket::without_refill(RETRY_TOKENS_MAX),
+            hedge_budget: TokenBucket::without_refill(HEDGE_TOKENS_MAX),
             in_flight: 0,
             last_arrival_us: None,
             rng,
--- a/crates/pointvane-dispatch/src/eligibility.rs
+++ b/crates/pointvane-dispatch/src/eligibility.rs
@@ -10,7 +10,7 @@
 
 use {
     crate::{
-        allowed_regions::AllowedRegions, ineligible::Ineligible, pool::Pool, ranking::Wanted,
+        allowed_regions::AllowedRegions, ineligible::Ineligible, pool::Pool, ranking::CandidateCriteria,
         upstream::UpstreamState, upstream_key::UpstreamKey,
     },
     pointvane_core::Name,
@@ -27,8 +27,8 @@
             (Ineligible::Draining, state.record.draining),
             (Ineligible::Leaving, state.notices.is_leaving),
             (Ineligible::Evacuated, self.evacuations.is_evacuated(&state.record.data_centre)),
-            (Ineligible::BackingOff, state.notices.backoff.holds(now_us)),
-            (Ineligible::Limited, state.notices.limit.holds(now_us)),
+            (Ineligible::BackingOff, state.notices.backoff.blocks_sends(now_us)),
+            (Ineligible::Limited, state.notices.limit.blocks_sends(now_us)),
             (Ineligible::Cold, self.warm_up.withholds(key, state, now_us)),
             (Ineligible::Ejected, state.is_ejected(now_us)),
         ];
@@ -68,8 +68,8 @@
             _ => {
                 if let Some(state) = self.upstreams.get_mut(&key) {
                     self.warm_up.use_draw(state, now_us);
-                    state.notices.backoff.send_began(now_us);
-                    state.notices.limit.send_began(now_us);
+                    state.notices.backoff.record_send(now_us);
+                    state.notices.limit.record_send(now_us);
                 }
                 Ok(())
             }
@@ -78,7 +78,12 @@
 
     /// Why a service has no upstream left for a request. Upstreams that it was sent to before are not
     /// considered; [`Ineligible::Gone`] if no other is known.
-    pub fn no_upstream_reason(&self, service: &Name, criteria: &Wanted<'_>, now_us: u64) -> Ineligible {
+    pub fn no_upstream_reason(
+        &self,
+        service: &Name,
+        criteria: &CandidateCriteria<'_>,
+        now_us: u64,
+    ) -> Ineligible {
         let of_service = |(key, state): &(&UpstreamKey, &UpstreamState)| {
             state.record.service == *service && !criteria.tried.contains(key)
         };
--- a/crates/pointvane-dispatch/src/pipeline.rs
+++ b/crates/pointvane-dispatch/src/pipeline.rs
@@ -22,7 +22,7 @@
 ///
 /// Without this, requests that a caller sends together would each wait for the service times of all those
 /// ahead.
-pub fn starts_early(
+pub fn may_forward_early(
     kind: RouteKind,
     ahead: impl IntoIterator<Item = RouteKind>,
     limits: &PipelineLimits,
@@ -30,8 +30,8 @@
     let mut free_slots = limits.requests_max;
     let mut takes_slot = |ahead: RouteKind| {
         free_slots = free_slots.saturating_sub(1);
-        ahead.repeatable()
+        ahead.is_repeatable()
     };
     let all_repeatable = ahead.into_iter().all(&mut takes_slot);
-    kind.repeatable() && all_repeatable && free_slots > 0
+    kind.is_repeatable() && all_repeatable && free_slots > 0
 }
--- a/crates/pointvane-dispatch/src/pool.rs
+++ b/crates/pointvane-dispatch/src/pool.rs
@@ -80,7 +80,7 @@
     pub fn upsert(&mut self, record: UpstreamRecord, now_us: u64) -> bool {
         if let Some(state) = self.by_id.get(&record.id).and_then(|key| self.upstreams.get_mut(key)) {
             let is_unchanged = record == state.record && state.grace_until_us.is_none();
-            if record.age() < state.record.age() || is_unchanged {
+            if record.entry_version() < state.record.entry_version() || is_unchanged {
                 return false;
             }
             if is_same_incarnation(&state.record, &record) {
@@ -90,7 +90,11 @@
             let id = record.id.clone();
             self.remove(&id);
         }
-        if self.removed.get(&record.id).is_some_and(|removed| record.age() <= removed.last.age()) {
+        if self
+            .removed
+            .get(&record.id)
+            .is_some_and(|removed| record.entry_version() <= removed.last.entry_version())
+        {
             return false;
         }
         self.insert(record, now_us);
@@ -119,14 +123,14 @@
             return Notices::default();
         };
         let is_known_incarnation = record.born_ms.is_some() && is_same_incarnation(last, record);
-        if is_known_incarnation { *notices } else { notices.for_later_life(now_us) }
+        if is_known_incarnation { *notices } else { notices.for_new_incarnation(now_us) }
     }
 
     /// Handles the removal of an upstream's entry from the platform; true if the upstream is removed at once.
     ///
     /// Before `grace_until_us` the entry may only have expired while the store was unavailable, so the
     /// upstream stays in use until then, unless it was draining or leaving.
-    pub fn entry_removed(&mut self, id: &Name, grace_until_us: u64, now_us: u64) -> bool {
+    pub fn handle_entry_removal(&mut self, id: &Name, grace_until_us: u64, now_us: u64) -> bool {
         let state = self.by_id.get(id).and_then(|key| self.upstreams.get_mut(key));
         if now_us < grace_until_us
             && let Some(state) = state.filter(|state| !state.record.draining && !state.notices.is_leaving)
@@ -138,7 +142,7 @@
     }
 
     /// Removes upstreams whose grace period is over; returns their identities.
-    pub fn forget_expired(&mut self, now_us: u64) -> Vec<Name> {
+    pub fn remove_expired(&mut self, now_us: u64) -> Vec<Name> {
         let is_expired =
             |state: &&UpstreamState| state.grace_until_us.is_some_and(|until_us| now_us >= until_us);
         let expired: Vec<Name> =
@@ -168,7 +172,7 @@
 
     /// Sets the deployment's bound on requests to cold upstreams, and the largest number of nodes ever seen
     /// at once.
-    pub fn share_warm_up(&mut self, bound: WarmUpBound, nodes: usize, now_us: u64) {
+    pub fn set_warm_up_bound(&mut self, bound: WarmUpBound, nodes: usize, now_us: u64) {
         self.warm_up.set_bound(bound, nodes, now_us);
     }
 
@@ -216,12 +220,12 @@
     }
 
     /// The state of the platform as a list of changes, without upstreams in their grace period.
-    pub fn listed(&self) -> impl Iterator<Item = Change> {
+    pub fn listed_changes(&self) -> impl Iterator<Item = Change> {
         self.records().cloned().map(Change::Upstream).chain(self.evacuation_changes())
     }
 
     /// The known state as a list of changes, including upstreams in their grace period.
-    pub fn known(&self) -> impl Iterator<Item = Change> {
+    pub fn known_changes(&self) -> impl Iterator<Item = Change> {
         let known = self.upstreams.values().map(|state| Change::Upstream(state.record.clone()));
         known.chain(self.evacuation_changes())
     }
--- a/crates/pointvane-dispatch/src/replica/routing_log.rs
+++ b/crates/pointvane-dispatch/src/replica/routing_log.rs
@@ -22,7 +22,7 @@
 
 impl RoutingLog {
     /// Appends the delta between a configuration and the one that replaced it.
-    pub fn replaced(&mut self, from: &RoutingConfiguration, to: &RoutingConfiguration) {
+    pub fn add_replacement(&mut self, from: &RoutingConfiguration, to: &RoutingConfiguration) {
         // The delta from an empty configuration (version 0) would be as large as the configuration itself.
         let delta = if from.version == 0 { None } else { RoutingDelta::between(from, to) };
         match delta {
@@ -36,11 +36,11 @@
         if self.deltas.back().is_some_and(|last| last.to_version != delta.from_version) {
             self.clear();
         }
-        self.changed_routes += delta.touched();
+        self.changed_routes += delta.change_count();
         self.deltas.push_back(delta);
         while self.changed_routes > LOGGED_ROUTES_MAX || self.deltas.len() > LOGGED_DELTAS_MAX {
             let oldest = self.deltas.pop_front();
-            self.changed_routes -= oldest.map_or(0, |delta| delta.touched());
+            self.changed_routes -= oldest.map_or(0, |delta| delta.change_count());
         }
     }
 
--- a/crates/pointvane-dispatch/src/upstream.rs
+++ b/crates/pointvane-dispatch/src/upstream.rs
@@ -42,8 +42,8 @@
 impl Notices {
     /// The notices that apply to a later incarnation. Leaving and limits do not carry over; a back-off may
     /// have been requested by the later incarnation already, so `Backoff` decides what remains of it.
-    pub(crate) fn for_later_life(self, now_us: u64) -> Self {
-        Self { backoff: self.backoff.for_later_life(now_us), ..Self::default() }
+    pub(crate) fn for_new_incarnation(self, now_us: u64) -> Self {
+        Self { backoff: self.backoff.for_new_incarnation(now_us), ..Self::default() }
     }
 }
 
@@ -142,18 +142,18 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn attempt_ended(&mut self, outcome: AttemptOutcome, now_us: u64) {
+    pub fn record_attempt(&mut self, outcome: AttemptOutcome, now_us: u64) {
         self.failures.apply(outcome.effect(), now_us);
     }
 
     /// Records the outcome of a probe.
-    pub fn probe_ended(&mut self, outcome: ProbeOutcome, now_us: u64) {
+    pub fn record_probe(&mut self, outcome: ProbeOutcome, now_us: u64) {
         self.failures.apply(outcome.effect(), now_us);
     }
 
     /// Records an attempt that was abandoned because the upstream did not respond in time. Counts as a
     /// failure.
-    pub fn was_unresponsive(&mut self, now_us: u64) {
+    pub fn record_unresponsive(&mut self, now_us: u64) {
         self.failures.apply(Effect::Failure, now_us);
     }
 
@@ -164,9 +164,9 @@
 
     /// Time until this node may send a request of `priority`, in microseconds, by the upstream's back-off and
     /// limit; none if neither prevents it.
-    pub fn back_in_us(&self, priority: u32, now_us: u64) -> Option<u64> {
+    pub fn available_in_us(&self, priority: u32, now_us: u64) -> Option<u64> {
         let backing_off_us = self.notices.backoff.until_us(now_us).map(|until_us| until_us - now_us);
-        backing_off_us.max(self.notices.limit.back_in_us(priority, now_us))
+        backing_off_us.max(self.notices.limit.available_in_us(priority, now_us))
     }
 
     /// The upstream's advertised limit, as far as it is known.
--- a/crates/pointvane-entry/src/entry.rs
+++ b/crates/pointvane-entry/src/entry.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        connections::ConnectionPool,
+        connection_pool::ConnectionPool,
         counters::EntryCounters,
-        kept_answer::{ResponseSender, StoredResponse},
         members::Members,
         routes::Routes,
         service::ServiceHandle,
+        stored_response::{ResponseSender, StoredResponse},
         transitions::TransitionTracker,
     },
     pointvane_balance::{KeyTable, KeyTableOptions},
@@ -139,7 +139,7 @@
             let now_us = service.now_us();
             let mut balancer = service.lock();
             for vm in &list.vms {
-                balancer.listed(&vm.name, vm.leaving, now_us);
+                balancer.apply_vm_list(&vm.name, vm.leaving, now_us);
             }
         }
     }
@@ -150,11 +150,11 @@
         for service in &self.routes().services {
             let now_us = service.now_us();
             let mut balancer = service.lock();
-            let fallback = balancer.limit_place_without_members();
-            let place = |upstream: &Name| {
-                (!self.is_stopping()).then(|| members.limit_place(upstream).unwrap_or(fallback))
+            let fallback = balancer.limit_rank_without_members();
+            let rank = |upstream: &Name| {
+                (!self.is_stopping()).then(|| members.limit_rank(upstream).unwrap_or(fallback))
             };
-            balancer.place_limits(place, now_us);
+            balancer.update_limit_ranks(rank, now_us);
         }
     }
 
--- a/crates/pointvane-entry/src/kept_answer.rs
+++ b/crates/pointvane-entry/src/stored_response.rs
@@ -1,10 +1,10 @@
 //! Responses to requests with an idempotency key, stored for repeats of the request.
 
 use {
-    crate::body::ResponseBody,
+    crate::response_body::ResponseBody,
     bytes::Bytes,
     hyper::{HeaderMap, Response, StatusCode},
-    pointvane_balance::Kept,
+    pointvane_balance::ResponseSize,
     pointvane_core::ErrorKind,
     tokio::sync::oneshot,
 };
@@ -26,7 +26,7 @@
     pub body: Bytes,
 }
 
-impl Kept for StoredResponse {
+impl ResponseSize for StoredResponse {
     fn size_bytes(&self) -> usize {
         let headers: usize = self.headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
         headers + self.body.len()
--- a/crates/pointvane-node/src/forward.rs
+++ b/crates/pointvane-node/src/forward.rs
@@ -13,7 +13,7 @@
     pointvane_core::{ErrorKind, HedgeSchedule, PlatformAdapter, US_PER_MS},
     pointvane_dispatch::{
         NextStep, RefusedBy, RequestAttempts, RetryBudget, SearchGoal, WithheldService, hedge_goal,
-        may_pass_on, search_time_ms,
+        may_relay, search_time_ms,
     },
     std::{cell::RefMut, rc::Rc, time::Duration},
     tokio::{
@@ -47,7 +47,7 @@
     let answer = forward.run(started_at_us).await;
     if answer.as_ref().is_ok_and(|response| response.status().is_success()) {
         let time_ms = forward.node.now_us().saturating_sub(started_at_us) as f64 / US_PER_MS as f64;
-        forward.node.dispatcher.route_times(&request.routed.route).record_answer(time_ms);
+        forward.node.dispatcher.route_latencies(&request.routed.route).record_answer(time_ms);
     }
     answer
 }
@@ -56,7 +56,7 @@
     async fn run(&mut self, started_at_us: u64) -> FinalAnswer {
         let request = Rc::clone(&self.request);
         let mut attempts = RequestAttempts::started(&request.routed.route, request.body.is_some());
-        self.retry_budget().earn();
+        self.retry_budget().deposit();
         let deadline = self.deadline(started_at_us);
         let started_at = Instant::now();
         let mut hedges = self.hedge_schedule();
@@ -70,12 +70,12 @@
                     // After a panic in an attempt it is unknown whether its upstream ran the request.
                     let Some(Ok(result)) = ended else { return Err(ErrorKind::UpstreamBroken.into()) };
                     self.answer = result.answer.or(self.answer.take());
-                    attempts.streamed_body_left(request.stream.borrow().is_some());
-                    attempts.ended(result.end, request.sends.get(), &mut self.retry_budget())
+                    attempts.set_streamed_body_unsent(request.stream.borrow().is_some());
+                    attempts.attempt_ended(result.end, request.sends.get(), &mut self.retry_budget())
                 }
                 () = sleep_until(hedge_at.unwrap_or(deadline)), if hedge_at.is_some() => {
-                    hedges.iter_mut().for_each(HedgeSchedule::tried);
-                    attempts.hedge_due(request.sends.get(), &mut self.retry_budget())
+                    hedges.iter_mut().for_each(HedgeSchedule::record_attempt);
+                    attempts.try_hedge(request.sends.get(), &mut self.retry_budget())
                 }
                 () = sleep_until(deadline) => attempts.deadline_passed(),
             };
@@ -90,11 +90,11 @@
         match step {
             NextStep::Wait => {}
             NextStep::Retry => {
-                self.node.report.repeated(false);
+                self.node.report.retried_or_hedged(false);
                 self.start_best();
             }
             NextStep::Hedge => {
-                self.node.report.repeated(true);
+                self.node.report.retried_or_hedged(true);
                 let now_us = self.node.now_us();
                 let elapsed_ms = self.request.elapsed_ms(now_us);
                 let goal = hedge_goal(&self.request.routed.route, elapsed_ms, now_us);
@@ -119,13 +119,13 @@
     }
 
     fn deadline(&self, now_us: u64) -> Instant {
-        Instant::now() + Duration::from_micros(self.request.answer_by_us.saturating_sub(now_us))
+        Instant::now() + Duration::from_micros(self.request.answer_deadline_us.saturating_sub(now_us))
     }
 
     /// When hedges are considered; none if hedging is disabled or the route has no hedge time.
     fn hedge_schedule(&self) -> Option<HedgeSchedule> {
         let route = &self.request.routed.route;
-        let after_ms = self.node.dispatcher.route_times(route).hedge_after_ms(route)?;
+        let after_ms = self.node.dispatcher.route_latencies(route).hedge_after_ms(route)?;
         self.node.dispatcher.hedges.then(|| HedgeSchedule::new(after_ms))
     }
 
@@ -136,7 +136,7 @@
 
     fn deliver(&mut self) -> FinalAnswer {
         let kind = self.request.routed.route.kind;
-        let answer = self.answer.take().filter(|answer| may_pass_on(kind, answer.status().as_u16()));
+        let answer = self.answer.take().filter(|answer| may_relay(kind, answer.status().as_u16()));
         answer.ok_or_else(|| ErrorKind::UpstreamBroken.into())
     }
 
--- a/crates/pointvane-node/src/quota.rs
+++ b/crates/pointvane-node/src/quota.rs
@@ -4,7 +4,7 @@
 use {
     crate::settings::NodeLimits,
     pointvane_core::{Name, Quota},
-    pointvane_dispatch::{FleetContact, QuotaDecision, Quotas},
+    pointvane_dispatch::{FleetView, QuotaDecision, Quotas},
     std::{
         cell::{Cell, RefCell, RefMut},
         rc::Rc,
@@ -31,11 +31,11 @@
         &self,
         account: &Name,
         quota: Quota,
-        contact: FleetContact,
+        fleet_view: FleetView,
         now_us: u64,
         draw: f32,
     ) -> QuotaDecision {
-        self.borrow_mut().admit(account, quota, contact, now_us, draw)
+        self.borrow_mut().admit(account, quota, fleet_view, now_us, draw)
     }
 }
 
@@ -45,25 +45,25 @@
     quotas: SharedQuotas,
     account: Name,
     admitted_at_us: u64,
-    spent: Cell<bool>,
+    committed: Cell<bool>,
 }
 
 impl QuotaCharge {
     /// Creates the charge of a request that was admitted at `now_us`.
     pub fn new(quotas: &SharedQuotas, account: Name, now_us: u64) -> Self {
-        Self { quotas: quotas.clone(), account, admitted_at_us: now_us, spent: Cell::new(false) }
+        Self { quotas: quotas.clone(), account, admitted_at_us: now_us, committed: Cell::new(false) }
     }
 
     /// Makes the charge final because the request is being sent.
-    pub fn spend(&self) {
-        self.spent.set(true);
+    pub fn commit(&self) {
+        self.committed.set(true);
     }
 }
 
 impl Drop for QuotaCharge {
     fn drop(&mut self) {
-        if !self.spent.get() {
-            self.quotas.borrow_mut().give_back(&self.account, self.admitted_at_us);
+        if !self.committed.get() {
+            self.quotas.borrow_mut().refund(&self.account, self.admitted_at_us);
         }
     }
 }
--- a/crates/pointvane-node/src/replica/platform_reader.rs
+++ b/crates/pointvane-node/src/replica/platform_reader.rs
@@ -84,14 +84,14 @@
     node.report.called_platform(kind, reason);
     if reason != CallReason::Watching {
         let kind = EventKind::PlatformCalled { call: kind.as_str().into(), reason: reason.as_str().into() };
-        node.report.note_bounded(node.now_us(), kind);
+        node.report.record_rate_limited(node.now_us(), kind);
     }
 }
 
 fn note_reachability<A: PlatformAdapter>(node: &Node<A>, unreachable_before: bool) {
     match (unreachable_before, node.platform.state().is_unreachable()) {
-        (false, true) => node.report.note(EventKind::PlatformLost),
-        (true, false) => node.report.note(EventKind::PlatformBack),
+        (false, true) => node.report.record(EventKind::PlatformLost),
+        (true, false) => node.report.record(EventKind::PlatformBack),
         _ => {}
     }
 }
@@ -110,7 +110,7 @@
             let (mut state, now_us) = (node.platform.state_mut(), node.now_us());
             return match error {
                 QueryError::NothingNewer => state.query_declined(now_us),
-                QueryError::Reading => state.query_found_reader(now_us),
+                QueryError::Reading => state.query_found_reading_peer(now_us),
                 QueryError::NoPeer | QueryError::Unreachable | QueryError::NoAnswer => {
                     state.query_failed(now_us)
                 }
@@ -120,10 +120,10 @@
     let (revision, age_ms) = (reply.mark.revision, reply.age_ms);
     let changes = {
         let pool = node.dispatcher.pool();
-        node.platform.state_mut().receive_state(reply, pool.known(), node.now_us())
+        node.platform.state_mut().receive_state(reply, pool.known_changes(), node.now_us())
     };
     if !changes.is_empty() {
-        node.report.note(EventKind::StateTold { peer, revision, age_ms });
+        node.report.record(EventKind::StateTold { peer, revision, age_ms });
     }
     node.apply(changes);
 }
@@ -148,7 +148,7 @@
     let first_read = node.platform.mark().revision == 0;
     let answer = match call(node, client, target, call_timeout).await {
         Ok(answer) => {
-            node.platform.state_mut().answer_began(node.now_us());
+            node.platform.state_mut().response_started(node.now_us());
             client.read(answer, PAGE_BYTES_MAX).await
         }
         Err(error) => Err(error),
@@ -156,12 +156,12 @@
     let Some(page) = decode_page(node, client, answer, A::snapshot) else { return };
     let changes = {
         let pool = node.dispatcher.pool();
-        node.platform.state_mut().page_read(page, pool.listed(), node.now_us())
+        node.platform.state_mut().receive_page(page, pool.listed_changes(), node.now_us())
     };
     let mark = node.platform.mark();
     if mark.revision > 0 {
         let upstreams = changes.iter().filter(|change| matches!(change, Change::Upstream(_))).count() as u64;
-        node.report.note(EventKind::PlatformRead {
+        node.report.record(EventKind::PlatformRead {
             revision: mark.revision,
             version: mark.version,
             upstreams,
@@ -192,18 +192,18 @@
     };
     let Some(answer) = answer else {
         node.report.platform_call_failed(GIVEN_UP);
-        node.report.note(EventKind::WatchRenewed { revision: node.platform.mark().revision });
+        node.report.record(EventKind::WatchRenewed { revision: node.platform.mark().revision });
         return client.close();
     };
     let answer = match answer {
         Ok(answer) => {
-            node.platform.state_mut().answer_began(node.now_us());
+            node.platform.state_mut().response_started(node.now_us());
             client.read(answer, answer_bytes_max).await
         }
         Err(error) => Err(error),
     };
     let Some(page) = decode_page(node, client, answer, A::changes) else { return };
-    let changes = node.platform.state_mut().watch_answered(page, node.now_us());
+    let changes = node.platform.state_mut().receive_watch_response(page, node.now_us());
     node.apply(changes);
     if node.platform.state().broadcasts() {
         node.send_relay();
@@ -230,7 +230,7 @@
 ) -> Option<ChangePage> {
     // The parse error is dropped: in any case the reader reads everything again, which the event log shows.
     let page = answer.and_then(|body| {
-        node.platform.state_mut().answer_came(body.len());
+        node.platform.state_mut().response_received(body.len());
         decode(&node.adapter, &body).map_err(|_| CallError::Malformed)
     });
     match page {
--- a/crates/pointvane-node/src/replica/platform_state.rs
+++ b/crates/pointvane-node/src/replica/platform_state.rs
@@ -4,7 +4,7 @@
 
 use {
     crate::settings::NodeSettings,
-    pointvane_dispatch::{PlatformReader, ReadMark, ReaderOptions, WholeStateLimit},
+    pointvane_dispatch::{FullStateLimit, PlatformReader, ReadMark, ReaderOptions},
     std::{
         cell::{Ref, RefCell, RefMut},
         rc::{Rc, Weak},
@@ -30,7 +30,7 @@
     behind: Notify,
     /// Notified when the configuration and the upstreams have been read, so that held requests can proceed.
     state_known: Notify,
-    full_state_limit: RefCell<WholeStateLimit>,
+    full_state_limit: RefCell<FullStateLimit>,
     shared_answer: RefCell<SharedAnswer>,
 }
 
@@ -48,7 +48,7 @@
 /// permit is dropped.
 #[derive(Debug)]
 pub struct AnswerPermit<'s> {
-    limit: Option<&'s RefCell<WholeStateLimit>>,
+    limit: Option<&'s RefCell<FullStateLimit>>,
 }
 
 impl Drop for AnswerPermit<'_> {
@@ -121,7 +121,7 @@
     }
 
     /// Returns once the configuration and the upstreams are known, or after `max_wait`.
-    pub async fn first_state(&self, max_wait: Duration) {
+    pub async fn wait_for_first_state(&self, max_wait: Duration) {
         // The result is ignored: callers check the state afterwards.
         _ = timeout(max_wait, self.state_known.notified()).await;
     }
@@ -135,7 +135,7 @@
     pub async fn interrupted(&self) {
         loop {
             self.behind.notified().await;
-            if self.reader.borrow().is_to_be_interrupted() {
+            if self.reader.borrow().should_interrupt() {
                 return;
             }
         }
--- a/crates/pointvane-node/src/request.rs
+++ b/crates/pointvane-node/src/request.rs
@@ -22,7 +22,7 @@
 
 /// Hop-by-hop headers.
 ///
-/// `pointvane-entry/src/answer.rs` has a list of its own: the programs there drop proxy headers that the node
+/// `pointvane-entry/src/response.rs` has a list of its own: the programs there drop proxy headers that the node
 /// forwards.
 static HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
     CONNECTION,
@@ -80,7 +80,7 @@
     /// When it arrived, in microseconds of the monotonic clock.
     pub arrived_at_us: u64,
     /// Deadline of the response, in microseconds of the same clock.
-    pub answer_by_us: u64,
+    pub answer_deadline_us: u64,
     /// Upstreams that attempts have chosen so far.
     pub tried: RefCell<Vec<UpstreamKey>>,
     /// Attempts of which at least one byte may have been sent.
@@ -116,8 +116,8 @@
             };
             let body = BodyFingerprint::new(body, body_length);
             Fingerprints {
-                exact: head.with_rest(QueryScope::Exact(self.uri.query()), body),
-                any_query: head.with_rest(QueryScope::Any, body),
+                exact: head.with_query_and_body(QueryScope::Exact(self.uri.query()), body),
+                any_query: head.with_query_and_body(QueryScope::Any, body),
             }
         })
     }
--- a/crates/pointvane-node/src/traffic.rs
+++ b/crates/pointvane-node/src/traffic.rs
@@ -17,7 +17,9 @@
         http::request::Parts,
     },
     pointvane_core::{ErrorKind, KeyDigest, PlatformAdapter, RouteKind, US_PER_MS},
-    pointvane_dispatch::{RoutedRequest, answer_by_us, first_state_retry_after_ms, first_state_wait_ms},
+    pointvane_dispatch::{
+        RoutedRequest, answer_deadline_us, first_state_retry_after_ms, first_state_wait_ms,
+    },
     pointvane_telemetry::EventKind,
     std::{
         cell::{Cell, OnceCell, RefCell},
@@ -82,22 +84,22 @@
     origin: RequestOrigin,
 ) -> Result<CallerRequest, Refused> {
     let caller_timeout_ms = node.headers.caller_timeout_ms(&head.headers);
-    if !node.knows_platform() {
-        let wait_ms =
-            first_state_wait_ms(node.dispatcher.start_wait_ms, node.running_ms(), caller_timeout_ms);
-        node.platform.first_state(Duration::from_millis(wait_ms)).await;
+    if !node.has_platform_state() {
+        let wait_ms = first_state_wait_ms(node.dispatcher.start_wait_ms, node.uptime_ms(), caller_timeout_ms);
+        node.platform.wait_for_first_state(Duration::from_millis(wait_ms)).await;
     }
     let key = node.presented_key(&head.headers);
     let routed = node.authorize(find_route(node, &head)?, key.as_ref())?;
     let charge = node.charge(&routed)?;
-    let answer_by_us = answer_by_us(&routed.route, caller_timeout_ms, origin.at_us);
+    let answer_deadline_us = answer_deadline_us(&routed.route, caller_timeout_ms, origin.at_us);
     let buffered = read_body(node, body).await?;
-    if node.now_us() >= answer_by_us {
+    if node.now_us() >= answer_deadline_us {
         return Err(ErrorKind::DeadlinePassed.into());
     }
     let id = node.headers.request_id_text(&head.headers);
     node.headers.strip_account(&mut head.headers);
-    let request = caller_request(id, head, buffered, Access { routed, key, charge }, origin, answer_by_us);
+    let request =
+        caller_request(id, head, buffered, Access { routed, key, charge }, origin, answer_deadline_us);
     if request.body.is_none() {
         // Computed and cached now, since the first attempt takes the body, which the fingerprints depend on.
         request.fingerprints();
@@ -195,7 +197,7 @@
 
 fn find_route<A: PlatformAdapter>(node: &Node<A>, head: &Parts) -> Result<RoutedRequest, Refused> {
     if node.dispatcher.routes().version() == 0 {
-        let retry_after_ms = Some(first_state_retry_after_ms(node.running_ms()));
+        let retry_after_ms = Some(first_state_retry_after_ms(node.uptime_ms()));
         return Err(Refused { retry_after_ms, ..ErrorKind::NotReady.into() });
     }
     let routed = node.dispatcher.route(requested_host(&head.headers, &head.uri), head.uri.path());
@@ -215,7 +217,7 @@
     buffered: BufferedBody,
     access: Access,
     origin: RequestOrigin,
-    answer_by_us: u64,
+    answer_deadline_us: u64,
 ) -> CallerRequest {
     let mut headers = head.headers;
     strip_hop_by_hop_headers(&mut headers);
@@ -238,7 +240,7 @@
         head_fingerprint_cache: OnceCell::new(),
         fingerprints_cache: OnceCell::new(),
         arrived_at_us: origin.at_us,
-        answer_by_us,
+        answer_deadline_us,
         tried: RefCell::default(),
         sends: Cell::new(0),
         unsent_us: Cell::new(0),
