--- a/standins/benches/pipelining.rs
+++ b/standins/benches/pipelining.rs
@@ -13,7 +13,7 @@
         io::{BufReader, Write},
         net::TcpStream,
     },
-    users_platform::{Manner, NodeProcess, Store, Upstream, read_message, request_head},
+    users_platform::{NodeProcess, Store, Upstream, UpstreamBehaviour, read_message, request_head},
 };
 
 const PIPELINE_DEPTH: usize = 4;
@@ -24,16 +24,16 @@
 fn pipelined_requests(criterion: &mut Criterion) {
     let store = Store::start();
     let upstreams: Vec<Upstream> = (0..PIPELINE_DEPTH)
-        .map(|number| Upstream::start(&format!("i-{number}"), Manner::After(WORK_MS)))
+        .map(|number| Upstream::start(&format!("i-{number}"), UpstreamBehaviour::Delayed(WORK_MS)))
         .collect();
     store.configure(5, &ROUTES);
     upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     let mut group = criterion.benchmark_group("a row of four requests of 50 ms");
     group.sample_size(10);
     for (name, path) in [("forwarded side by side", "/safe/a"), ("one after another", "/unsafe/a")] {
-        let mut stream = TcpStream::connect(node.traffic()).unwrap();
+        let mut stream = TcpStream::connect(node.traffic_address()).unwrap();
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         let heads: String =
             (0..PIPELINE_DEPTH).map(|number| request_head("GET", path, &number.to_string(), 5_000)).collect();
--- a/standins/tests/backing_off.rs
+++ b/standins/tests/backing_off.rs
@@ -15,7 +15,7 @@
         thread,
         time::{Duration, Instant},
     },
-    users_platform::{Manner, NodeProcess, Store, Upstream, read_message, request_head},
+    users_platform::{NodeProcess, Store, Upstream, UpstreamBehaviour, read_message, request_head},
 };
 
 const ROUTES: [(&str, &str, u64, &str); 2] =
@@ -42,7 +42,7 @@
 }
 
 impl Fixture {
-    fn start(behaviours: &[Manner]) -> Self {
+    fn start(behaviours: &[UpstreamBehaviour]) -> Self {
         let store = Store::start();
         store.configure(5, &ROUTES);
         let upstreams: Vec<Upstream> = behaviours
@@ -52,7 +52,7 @@
             .collect();
         upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
         let node = NodeProcess::start(&store);
-        node.until_ready();
+        node.wait_until_ready();
         Self { node, store, upstreams }
     }
 
@@ -73,7 +73,7 @@
     /// Expects that the only upstream receives almost nothing during the pause that it asked for.
     fn expect_pause_honoured(&self, pause: Duration) {
         let (_, requested_at, _) = self.upstreams[0].pauses.lock().unwrap()[0].clone();
-        self.upstreams[0].set(Manner::Well);
+        self.upstreams[0].set_behaviour(UpstreamBehaviour::Normal);
         self.send_for(pause.saturating_sub(requested_at.elapsed()));
         let pause_window = requested_at + IN_FLIGHT_GRACE..requested_at + pause;
         let arrivals = self.upstreams[0].arrivals.lock().unwrap();
@@ -113,8 +113,8 @@
 #[gtest]
 fn an_upstream_that_asks_for_a_pause_gets_no_requests_during_it() {
     let pause = Duration::from_secs(2);
-    let asking = Manner::AskForPause(pause.as_millis() as u64);
-    let fixture = Fixture::start(&[asking, asking, Manner::Well, Manner::Well]);
+    let asking = UpstreamBehaviour::RequestPause(pause.as_millis() as u64);
+    let fixture = Fixture::start(&[asking, asking, UpstreamBehaviour::Normal, UpstreamBehaviour::Normal]);
     let statuses = fixture.send_for(pause + Duration::from_secs(1));
     let served = statuses.iter().filter(|status| **status == 200).count();
     expect_that!(served * 100, ge(statuses.len() * 99), "of {}", statuses.len());
@@ -136,10 +136,10 @@
 /// leaving.
 #[gtest]
 fn an_upstream_that_announces_leaving_in_its_responses_gets_no_new_requests() {
-    let fixture = Fixture::start(&[Manner::Well, Manner::Well]);
+    let fixture = Fixture::start(&[UpstreamBehaviour::Normal, UpstreamBehaviour::Normal]);
     fixture.send_for(Duration::from_millis(500));
-    expect_that!(fixture.upstreams[0].runs(), ge(1), "it received requests");
-    fixture.upstreams[0].set(Manner::SayLeaving);
+    expect_that!(fixture.upstreams[0].run_count(), ge(1), "it received requests");
+    fixture.upstreams[0].set_behaviour(UpstreamBehaviour::AnnounceLeaving);
     let leaving_since = Instant::now();
     let statuses = thread::scope(|scope| {
         scope.spawn(|| {
@@ -162,8 +162,9 @@
 #[gtest]
 fn an_upstream_that_rejects_everything_while_reporting_free_slots_gets_few_requests() {
     // A pause of 0 is no pause.
-    let zero_pause = Manner::AskForPause(0);
-    let fixture = Fixture::start(&[zero_pause, zero_pause, Manner::Well, Manner::Well]);
+    let zero_pause = UpstreamBehaviour::RequestPause(0);
+    let fixture =
+        Fixture::start(&[zero_pause, zero_pause, UpstreamBehaviour::Normal, UpstreamBehaviour::Normal]);
     let statuses = fixture.send_for(Duration::from_secs(3));
     let received: usize = fixture.upstreams[..2].iter().map(|upstream| arrivals(upstream).len()).sum();
     expect_that!(received, ge(1), "they received requests");
@@ -175,7 +176,7 @@
 #[gtest]
 fn callers_get_retry_after_at_once_when_all_upstreams_ask_for_a_pause() {
     let pause = Duration::from_millis(1_500);
-    let asking = Manner::AskForPause(pause.as_millis() as u64);
+    let asking = UpstreamBehaviour::RequestPause(pause.as_millis() as u64);
     let fixture = Fixture::start(&[asking, asking]);
     // After these both upstreams have asked for a pause: the first request may already have tried both.
     fixture.node.request("GET", "/safe/a", "first", 5_000).unwrap();
@@ -191,7 +192,7 @@
     expect_that!(String::from_utf8_lossy(&refused.body).trim(), eq("upstreams-backing-off"));
     let retry_after: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     expect_that!(retry_after, all!(gt(0.5), le(2.0)));
-    fixture.upstreams.iter().for_each(|upstream| upstream.set(Manner::Well));
+    fixture.upstreams.iter().for_each(|upstream| upstream.set_behaviour(UpstreamBehaviour::Normal));
     thread::sleep(Duration::from_secs_f64(retry_after));
     expect_that!(fixture.node.request("GET", "/safe/a", "fourth", 5_000).unwrap().status(), eq(200));
 }
@@ -200,8 +201,8 @@
 #[gtest]
 fn pipelined_requests_honour_a_pause_requested_meanwhile() {
     let pause = Duration::from_secs(2);
-    let asking = Manner::AskForPause(pause.as_millis() as u64);
-    let fixture = Fixture::start(&[asking, Manner::Well]);
+    let asking = UpstreamBehaviour::RequestPause(pause.as_millis() as u64);
+    let fixture = Fixture::start(&[asking, UpstreamBehaviour::Normal]);
     thread::scope(|scope| {
         for caller in 0..4 {
             let node = &fixture.node;
@@ -230,8 +231,10 @@
 #[gtest]
 fn a_pause_requested_in_a_response_without_a_receiver_is_honoured() {
     let pause = Duration::from_millis(1_500);
-    let fixture =
-        Fixture::start(&[Manner::AskForPauseLate { pause_ms: pause.as_millis() as u64, after_ms: 8 }]);
+    let fixture = Fixture::start(&[UpstreamBehaviour::RequestPauseLate {
+        pause_ms: pause.as_millis() as u64,
+        after_ms: 8,
+    }]);
     fixture.send_until_pause_requested(|number| {
         let head = request_head("GET", "/safe/a", &format!("leaves-{number}"), 5_000);
         let mut caller = TcpStream::connect((fixture.node.ip, 8_144)).unwrap();
@@ -250,7 +253,7 @@
 #[gtest]
 fn a_pause_requested_after_the_deadline_of_a_request_is_honoured() {
     let pause = Duration::from_millis(1_500);
-    let fixture = Fixture::start(&[Manner::AskForPauseAtDeadline(pause.as_millis() as u64)]);
+    let fixture = Fixture::start(&[UpstreamBehaviour::RequestPauseAtDeadline(pause.as_millis() as u64)]);
     fixture.send_until_pause_requested(|number| {
         let response = fixture.node.request("GET", "/safe/a", &format!("waits-{number}"), 400).unwrap();
         expect_that!(response.status(), eq(504));
@@ -262,9 +265,9 @@
 #[gtest]
 fn after_a_pause_a_single_trial_request_is_in_flight_at_a_time() {
     let (pause, work) = (Duration::from_secs(1), Duration::from_millis(150));
-    let fixture = Fixture::start(&[Manner::AskForPause(pause.as_millis() as u64)]);
+    let fixture = Fixture::start(&[UpstreamBehaviour::RequestPause(pause.as_millis() as u64)]);
     fixture.node.request("GET", "/safe/a", "asked", 5_000).unwrap();
-    fixture.upstreams[0].set(Manner::After(work.as_millis() as u64));
+    fixture.upstreams[0].set_behaviour(UpstreamBehaviour::Delayed(work.as_millis() as u64));
     fixture.send_for(pause + Duration::from_millis(800));
     let arrivals = arrivals(&fixture.upstreams[0]);
     let first = arrivals.iter().find(|after| **after >= pause).unwrap();
--- a/standins/tests/client_accounts.rs
+++ b/standins/tests/client_accounts.rs
@@ -6,7 +6,8 @@
     googletest::prelude::*,
     std::{thread, time::Duration},
     users_platform::{
-        Account, ConfigurationOptions, HOST, Manner, Message, NodeProcess, Store, Upstream, call, eventually,
+        Account, ConfigurationOptions, HOST, Message, NodeProcess, Store, Upstream, UpstreamBehaviour, call,
+        eventually,
     },
 };
 
@@ -30,11 +31,11 @@
 /// Starts a ready node with client accounts and one upstream.
 fn start_with_accounts(accounts: Vec<Account>) -> (NodeProcess, Store, Upstream) {
     let store = Store::start();
-    let upstream = Upstream::start("i-0", Manner::Well);
+    let upstream = Upstream::start("i-0", UpstreamBehaviour::Normal);
     store.configure_with(5, &ROUTES, &terms_with(accounts));
     store.list(&upstream, "ready", 1);
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     (node, store, upstream)
 }
 
@@ -43,7 +44,7 @@
     let head = format!(
         "GET {path} HTTP/1.1\r\nhost: {HOST}\r\npointvane-request-id: {id}\r\npointvane-deadline-ms: 4000\r\n{headers}\r\n"
     );
-    call(node.traffic(), &head).unwrap()
+    call(node.traffic_address(), &head).unwrap()
 }
 
 fn request_with_key(node: &NodeProcess, id: &str, key: &str) -> Message {
@@ -59,7 +60,7 @@
     let twice = "authorization: Bearer key-1\r\nauthorization: Bearer key-3\r\n";
     expect_that!(request(&node, "/safe/a", "4", twice).status(), eq(401));
     expect_that!(request(&node, "/safe/a", "5", "pointvane-tenant: board\r\n").status(), eq(401));
-    expect_that!(upstream.runs(), eq(0));
+    expect_that!(upstream.run_count(), eq(0));
     let response = request_with_key(&node, "6", "key-2");
     expect_that!(response.status(), eq(200));
 }
@@ -78,7 +79,7 @@
 #[gtest]
 fn without_accounts_a_caller_needs_no_key_and_cannot_claim_an_account() {
     let store = Store::start();
-    let upstream = Upstream::start("i-0", Manner::Well);
+    let upstream = Upstream::start("i-0", UpstreamBehaviour::Normal);
     store.configure_with(
         5,
         &ROUTES,
@@ -86,7 +87,7 @@
     );
     store.list(&upstream, "ready", 1);
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     let headers = "authorization: Bearer own\r\npointvane-tenant: board\r\n";
     expect_that!(request(&node, "/safe/a", "1", headers).status(), eq(200));
     let last = upstream.last.lock().unwrap().clone();
@@ -102,7 +103,7 @@
 fn revoked_keys_are_refused_and_new_keys_accepted_however_a_node_learns_of_them() {
     let (node, store, _upstream) = start_with_accounts(vec![board_account()]);
     let peer = NodeProcess::start_in(&store, &[node.ip]);
-    peer.until_ready();
+    peer.wait_until_ready();
     expect_that!(request_with_key(&peer, "1", "key-1").status(), eq(200));
     let changed = Account { keys: vec!["key-2", "key-4"], ..board_account() };
     store.configure_with(6, &ROUTES, &terms_with(vec![changed]));
@@ -112,7 +113,7 @@
         expect_that!(request_with_key(node, &format!("c{number}"), "key-2").status(), eq(200));
     }
     let late = NodeProcess::start_in(&store, &[node.ip]);
-    late.until_ready();
+    late.wait_until_ready();
     expect_that!(request_with_key(&late, "2", "key-1").status(), eq(401));
 }
 
@@ -133,10 +134,10 @@
         thread::sleep(Duration::from_millis(10));
     }
     // 10.5 in a window, a quarter more, and 20; the loop takes less than a window.
-    expect_that!(upstream.runs(), le(33));
+    expect_that!(upstream.run_count(), le(33));
     expect_that!(refused, ge(80));
     expect_that!(request_with_key(&node, "other", "key-9").status(), eq(200));
-    expect_that!(node.lines(), contains_substring("quota-exceeded"));
+    expect_that!(node.log_lines(), contains_substring("quota-exceeded"));
 }
 
 #[gtest]
@@ -144,13 +145,16 @@
     let (node, _store, _upstream) = start_with_accounts(vec![board_account()]);
     expect_that!(request_with_key(&node, "1", "key-1").status(), eq(200));
     expect_that!(request_with_key(&node, "2", "key-77").status(), eq(401));
-    expect_that!(node.lines(), not(contains_substring("key-")));
+    expect_that!(node.log_lines(), not(contains_substring("key-")));
 }
 
 #[gtest]
 fn a_download_whose_response_is_lost_is_retried_at_another_upstream() {
     let store = Store::start();
-    let upstreams = [Upstream::start("i-0", Manner::LoseAnswer), Upstream::start("i-1", Manner::Well)];
+    let upstreams = [
+        Upstream::start("i-0", UpstreamBehaviour::LoseResponse),
+        Upstream::start("i-1", UpstreamBehaviour::Normal),
+    ];
     store.configure_with(
         5,
         &ROUTES,
@@ -158,7 +162,7 @@
     );
     upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     // Fills the retry budget.
     (0..60).for_each(|number| _ = request(&node, "/load/a", &format!("{number}"), ""));
     let succeeded =
@@ -169,7 +173,10 @@
 #[gtest]
 fn a_route_of_an_unknown_kind_is_tried_once_at_most_and_affects_no_other_route() {
     let store = Store::start();
-    let upstreams = [Upstream::start("i-0", Manner::LoseAnswer), Upstream::start("i-1", Manner::LoseAnswer)];
+    let upstreams = [
+        Upstream::start("i-0", UpstreamBehaviour::LoseResponse),
+        Upstream::start("i-1", UpstreamBehaviour::LoseResponse),
+    ];
     let routes = [("/safe/", "safe", 5_000, "app"), ("/new/", "teleport", 5_000, "app")];
     store.configure_with(
         5,
@@ -178,28 +185,28 @@
     );
     upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     expect_that!(request(&node, "/new/a", "1", "").status(), eq(502));
-    expect_that!(upstreams.iter().map(Upstream::runs).sum::<usize>(), eq(1));
-    upstreams.iter().for_each(|upstream| upstream.set(Manner::Well));
+    expect_that!(upstreams.iter().map(Upstream::run_count).sum::<usize>(), eq(1));
+    upstreams.iter().for_each(|upstream| upstream.set_behaviour(UpstreamBehaviour::Normal));
     expect_that!(request(&node, "/safe/a", "2", "").status(), eq(200));
-    expect_that!(node.lines(), contains_substring("teleport"));
+    expect_that!(node.log_lines(), contains_substring("teleport"));
 }
 
 #[gtest]
 fn a_node_without_a_valid_configuration_logs_it_and_is_not_ready() {
     let store = Store::start();
-    let upstream = Upstream::start("i-0", Manner::Well);
+    let upstream = Upstream::start("i-0", UpstreamBehaviour::Normal);
     store.put("op/config", r#"{"version":"0000000c","routes":"none"}"#);
     store.list(&upstream, "ready", 1);
     let node = NodeProcess::start(&store);
-    eventually(|| node.lines().contains("configuration-refused"));
+    eventually(|| node.log_lines().contains("configuration-refused"));
     expect_that!(node.ready(), eq(503));
     store.configure_with(
         13,
         &ROUTES,
         &ConfigurationOptions { target_latency_ms: TARGET_MS, ..ConfigurationOptions::default() },
     );
-    node.until_ready();
+    node.wait_until_ready();
     expect_that!(request(&node, "/safe/a", "1", "").status(), eq(200));
 }
--- a/standins/tests/cold_upstreams.rs
+++ b/standins/tests/cold_upstreams.rs
@@ -6,7 +6,7 @@
 use {
     googletest::prelude::*,
     std::{thread, time::Duration},
-    users_platform::{Manner, NodeProcess, Store, Upstream, eventually},
+    users_platform::{NodeProcess, Store, Upstream, UpstreamBehaviour, eventually},
 };
 
 const ROUTES: [(&str, &str, u64, &str); 1] = [("/", "safe", 5_000, "app")];
@@ -20,22 +20,23 @@
 /// returns how many each of them ran.
 fn run_counts(cold_per_s: f64) -> [usize; 2] {
     let store = Store::start();
-    let upstreams =
-        [("i-0", Manner::Well), ("i-1", Manner::Cold)].map(|(id, manner)| Upstream::start(id, manner));
+    let upstreams = [("i-0", UpstreamBehaviour::Normal), ("i-1", UpstreamBehaviour::Cold)]
+        .map(|(id, behaviour)| Upstream::start(id, behaviour));
     store.configure_cold(5, &ROUTES, cold_per_s);
     upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     thread::sleep(STARTUP_HOLD);
     eventually(|| {
-        upstreams[1].asked.load(std::sync::atomic::Ordering::SeqCst) > 0 || request(&node, "first") != 200
+        upstreams[1].health_probes.load(std::sync::atomic::Ordering::SeqCst) > 0
+            || request(&node, "first") != 200
     });
-    let before = upstreams.each_ref().map(Upstream::runs);
+    let before = upstreams.each_ref().map(Upstream::run_count);
     for number in 0..60 {
         thread::sleep(REQUEST_INTERVAL);
         expect_that!(request(&node, &format!("r-{number}")), eq(200));
     }
-    let after = upstreams.each_ref().map(Upstream::runs);
+    let after = upstreams.each_ref().map(Upstream::run_count);
     [after[0] - before[0], after[1] - before[1]]
 }
 
--- a/standins/tests/crashing_requests.rs
+++ b/standins/tests/crashing_requests.rs
@@ -15,7 +15,7 @@
         thread,
         time::{Duration, Instant},
     },
-    users_platform::{Manner, Message, NodeProcess, Store, Upstream, eventually},
+    users_platform::{Message, NodeProcess, Store, Upstream, UpstreamBehaviour, eventually},
 };
 
 const ROUTES: [(&str, &str, u64, &str); 2] =
@@ -42,15 +42,16 @@
     fn start(target: &str) -> Self {
         let store = Store::start();
         store.configure(5, &ROUTES);
-        let upstreams: Vec<Upstream> =
-            (0..UPSTREAMS).map(|number| Upstream::start(&format!("i-{number}"), Manner::Well)).collect();
+        let upstreams: Vec<Upstream> = (0..UPSTREAMS)
+            .map(|number| Upstream::start(&format!("i-{number}"), UpstreamBehaviour::Normal))
+            .collect();
         upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
         upstreams.iter().for_each(|upstream| upstream.crash_on(target));
         let first = NodeProcess::start(&store);
         let seeds = [first.ip];
         let mut nodes = vec![first];
         nodes.extend((1..NODES).map(|_| NodeProcess::start_in(&store, &seeds)));
-        nodes.iter().for_each(NodeProcess::until_ready);
+        nodes.iter().for_each(NodeProcess::wait_until_ready);
         eventually(|| {
             nodes
                 .iter()
--- a/standins/tests/whole_states.rs
+++ b/standins/tests/full_state_transfers.rs
@@ -14,7 +14,7 @@
         thread,
         time::Duration,
     },
-    users_platform::{Manner, NodeProcess, Store, Upstream},
+    users_platform::{NodeProcess, Store, Upstream, UpstreamBehaviour},
 };
 
 /// Number of upstreams in a large fleet.
@@ -48,12 +48,12 @@
 #[gtest]
 fn hundreds_of_nodes_starting_together_use_no_more_memory_of_a_node_than_a_few() {
     let store = Store::start();
-    let upstream = Upstream::start("i-0", Manner::Well);
+    let upstream = Upstream::start("i-0", UpstreamBehaviour::Normal);
     store.configure(5, &[("/", "safe", 5_000, "app")]);
     store.list(&upstream, "ready", 1);
     store.list_unreachable(UPSTREAMS);
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     thread::sleep(Duration::from_secs(1));
     let before_kb = peak_kb(node.id());
     let queries: Vec<TcpStream> = (0..STARTING_NODES).map(|_| query(&node)).collect();
--- a/standins/tests/limits.rs
+++ b/standins/tests/limits.rs
@@ -8,7 +8,7 @@
         thread,
         time::{Duration, Instant},
     },
-    users_platform::{Manner, NodeProcess, Store, Upstream, eventually},
+    users_platform::{NodeProcess, Store, Upstream, UpstreamBehaviour, eventually},
 };
 
 const ROUTES: [(&str, &str, u64, &str); 2] =
@@ -32,17 +32,18 @@
 }
 
 impl Fixture {
-    fn start(nodes: usize, behaviours: &[Manner]) -> Self {
+    fn start(nodes: usize, behaviours: &[UpstreamBehaviour]) -> Self {
         let store = Store::start();
         store.configure(5, &ROUTES);
-        let start =
-            |(number, behaviour): (usize, &Manner)| Upstream::start(&format!("i-{number}"), *behaviour);
+        let start = |(number, behaviour): (usize, &UpstreamBehaviour)| {
+            Upstream::start(&format!("i-{number}"), *behaviour)
+        };
         let upstreams: Vec<Upstream> = behaviours.iter().enumerate().map(start).collect();
         upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
         let mut fleet = vec![NodeProcess::start(&store)];
         let seeds = [fleet[0].ip];
         fleet.extend((1..nodes).map(|_| NodeProcess::start_in(&store, &seeds)));
-        fleet.iter().for_each(NodeProcess::until_ready);
+        fleet.iter().for_each(NodeProcess::wait_until_ready);
         let knows_all = |node: &NodeProcess| node.directory().matches(":8144").count() == nodes;
         eventually(|| fleet.iter().all(knows_all));
         Self { nodes: fleet, store, upstreams }
@@ -84,7 +85,14 @@
 
 #[gtest]
 fn nodes_together_respect_the_limit_that_an_upstream_announces() {
-    let fixture = Fixture::start(4, &[Manner::NameLimit { per_1000_s: 2_500 }, Manner::Well, Manner::Well]);
+    let fixture = Fixture::start(
+        4,
+        &[
+            UpstreamBehaviour::AnnounceLimit { per_1000_s: 2_500 },
+            UpstreamBehaviour::Normal,
+            UpstreamBehaviour::Normal,
+        ],
+    );
     let statuses = fixture.send_for(PROPAGATION_TIME + 2 * WINDOW);
     expect_that!(
         statuses.iter().all(|status| *status == 200),
@@ -92,10 +100,10 @@
         "the other upstreams serve the rest"
     );
     expect_that!(max_in_window(&fixture.upstreams[0], PROPAGATION_TIME), le(allowed(2.5)));
-    expect_that!(fixture.upstreams[0].runs(), ge(4), "it received requests");
+    expect_that!(fixture.upstreams[0].run_count(), ge(4), "it received requests");
     for node in &fixture.nodes {
         expect_that!(
-            node.lines(),
+            node.log_lines(),
             contains_substring("upstream-limit-changed"),
             "each node learned of the limit"
         );
@@ -104,7 +112,7 @@
 
 #[gtest]
 fn callers_get_retry_after_at_once_when_all_upstreams_are_at_their_limits() {
-    let fixture = Fixture::start(1, &[Manner::NameLimit { per_1000_s: 500 }]);
+    let fixture = Fixture::start(1, &[UpstreamBehaviour::AnnounceLimit { per_1000_s: 500 }]);
     let node = &fixture.nodes[0];
     // A node that has just started waits until it would have heard from other nodes.
     thread::sleep(Duration::from_secs(2));
@@ -129,13 +137,16 @@
 
 #[gtest]
 fn an_upstream_that_withdraws_its_limit_is_used_again_within_two_seconds() {
-    let fixture = Fixture::start(2, &[Manner::NameLimit { per_1000_s: 1_000 }, Manner::Well]);
+    let fixture = Fixture::start(
+        2,
+        &[UpstreamBehaviour::AnnounceLimit { per_1000_s: 1_000 }, UpstreamBehaviour::Normal],
+    );
     fixture.send_for(Duration::from_secs(3));
-    fixture.upstreams[0].set(Manner::Well);
+    fixture.upstreams[0].set_behaviour(UpstreamBehaviour::Normal);
     fixture.send_for(Duration::from_secs(2));
-    let before = fixture.upstreams[0].runs();
+    let before = fixture.upstreams[0].run_count();
     let statuses = fixture.send_for(Duration::from_secs(2));
-    let ran = fixture.upstreams[0].runs() - before;
+    let ran = fixture.upstreams[0].run_count() - before;
     expect_that!(
         ran * 10,
         ge(statuses.len()),
@@ -147,16 +158,16 @@
 /// A node that starts knows neither the limit nor the other nodes.
 #[gtest]
 fn a_node_that_starts_while_a_limit_is_in_force_respects_it_after_the_propagation_time() {
-    let limit = Manner::NameLimit { per_1000_s: 2_500 };
-    let mut fixture = Fixture::start(3, &[limit, Manner::Well, Manner::Well]);
+    let limit = UpstreamBehaviour::AnnounceLimit { per_1000_s: 2_500 };
+    let mut fixture = Fixture::start(3, &[limit, UpstreamBehaviour::Normal, UpstreamBehaviour::Normal]);
     fixture.send_for(Duration::from_secs(2));
     let last = fixture.nodes.pop().unwrap();
     drop(last);
     let store = fixture.store.address;
     let seeds = [fixture.nodes[0].ip];
-    let ip = users_platform::own_address();
+    let ip = users_platform::unique_address();
     fixture.nodes.push(NodeProcess::start_at(ip, store, &seeds, users_platform::Log::File));
-    fixture.nodes[2].until_ready();
+    fixture.nodes[2].wait_until_ready();
     fixture.send_for(Duration::from_secs(6));
     expect_that!(max_in_window(&fixture.upstreams[0], PROPAGATION_TIME), le(allowed(2.5)));
 }
@@ -187,13 +198,13 @@
 fn a_node_that_has_just_started_uses_an_upstream_whose_limit_is_far_above_its_load() {
     let store = Store::start();
     store.configure(5, &ROUTES);
-    let upstream = Upstream::start("i-0", Manner::NameLimit { per_1000_s: 4_000_000_000 });
+    let upstream = Upstream::start("i-0", UpstreamBehaviour::AnnounceLimit { per_1000_s: 4_000_000_000 });
     store.list(&upstream, "ready", 1);
     let alone = NodeProcess::start(&store);
-    alone.until_ready();
+    alone.wait_until_ready();
     expect_that!(first_second(&alone), each(eq(&(200, "hello".to_owned()))));
     // Nothing listens at this seed address: the node does not know whether other nodes run.
-    let isolated = NodeProcess::start_in(&store, &[users_platform::own_address()]);
-    isolated.until_ready();
+    let isolated = NodeProcess::start_in(&store, &[users_platform::unique_address()]);
+    isolated.wait_until_ready();
     expect_that!(first_second(&isolated), each(eq(&(200, "hello".to_owned()))));
 }
--- a/standins/tests/operator_ports.rs
+++ b/standins/tests/operator_ports.rs
@@ -9,7 +9,7 @@
     pointvane_standins::deployment::{Program, wait},
     serde_json::Value,
     std::{collections::BTreeSet, net::SocketAddr},
-    users_platform::{Manner, NodeProcess, Store, Upstream, call, eventually},
+    users_platform::{NodeProcess, Store, Upstream, UpstreamBehaviour, call, eventually},
 };
 
 const NODE_GOLDEN: &str = include_str!("golden/node_operator_port.txt");
@@ -59,18 +59,21 @@
 #[gtest]
 fn metrics_and_status_fields_of_a_node_are_unchanged() {
     let store = Store::start();
-    let upstreams = [Upstream::start("i-0", Manner::Well), Upstream::start("i-1", Manner::Well)];
+    let upstreams = [
+        Upstream::start("i-0", UpstreamBehaviour::Normal),
+        Upstream::start("i-1", UpstreamBehaviour::Normal),
+    ];
     store.configure(5, &[("/safe/", "safe", 5_000, "app")]);
     upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
     let first = NodeProcess::start(&store);
     let node = NodeProcess::start_in(&store, &[first.ip]);
-    node.until_ready();
+    node.wait_until_ready();
     node.request("GET", "/none/", "none", 5_000).unwrap();
     let send_requests =
         || (0..40).for_each(|number| _ = node.request("GET", "/safe/a", &format!("{number}"), 5_000));
     // Fills the retry budget, then causes retries.
     send_requests();
-    upstreams[0].set(Manner::LoseAnswer);
+    upstreams[0].set_behaviour(UpstreamBehaviour::LoseResponse);
     let address = SocketAddr::from((node.ip, NODE_OPERATOR_PORT));
     eventually(|| {
         send_requests();
@@ -86,7 +89,7 @@
     store.put("servers/i-of-another-writer", "rubbish");
     store.configure(5, &[("/safe/", "safe", 5_000, "app")]);
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     let text = get(SocketAddr::from((node.ip, NODE_OPERATOR_PORT)), "/metrics");
     let counted = text.lines().find(|line| line.starts_with("pointvane_node_items_refused_total")).unwrap();
     expect_that!(counted, contains_substring(r#"reason="form""#));
--- a/standins/tests/peer_links.rs
+++ b/standins/tests/peer_links.rs
@@ -14,7 +14,7 @@
         thread,
         time::{Duration, Instant},
     },
-    users_platform::{Log, NodeProcess, Store, call, eventually, own_address},
+    users_platform::{Log, NodeProcess, Store, call, eventually, unique_address},
 };
 
 const OPERATOR_PORT: u16 = 9_464;
@@ -38,9 +38,9 @@
 impl Fleet {
     fn start() -> Self {
         let store = Store::start();
-        let unreachable = SocketAddr::from((own_address(), 8_142));
+        let unreachable = SocketAddr::from((unique_address(), 8_142));
         let addresses: Vec<(Ipv4Addr, Ipv4Addr)> =
-            (0..NODES).map(|_| (own_address(), own_address())).collect();
+            (0..NODES).map(|_| (unique_address(), unique_address())).collect();
         let seeds: Vec<Ipv4Addr> = addresses.iter().map(|(advertised, _)| *advertised).collect();
         let proxies = addresses.iter().map(|(advertised, bound)| PeerProxy::start(*advertised, *bound));
         let proxies = proxies.collect();
@@ -64,7 +64,7 @@
 
     fn until_all_converged(&self, version: u64) {
         for node in &self.nodes {
-            node.until_ready();
+            node.wait_until_ready();
             eventually(|| field(node, "members") == NODES as u64);
             eventually(|| field(node, "configuration_version") == version);
         }
@@ -83,7 +83,7 @@
 fn nodes_converge_again_after_each_partition() {
     let fleet = Fleet::start();
     fleet.until_all_converged(1);
-    for (version, cut) in [(2, PeerLink::Silent), (3, PeerLink::Reset)] {
+    for (version, cut) in [(2, PeerLink::DropAll), (3, PeerLink::Reset)] {
         fleet.set(cut);
         for node in &fleet.nodes {
             eventually(|| field(node, "members") == 1);
@@ -93,7 +93,7 @@
         for node in &fleet.nodes[1..] {
             expect_that!(field(node, "configuration_version"), eq(version - 1));
         }
-        fleet.set(PeerLink::Sound);
+        fleet.set(PeerLink::Healthy);
         fleet.until_all_converged(version);
     }
 }
@@ -109,28 +109,28 @@
 
 #[gtest]
 fn nodes_learn_a_configuration_after_inbound_loss() {
-    expect_convergence_after(PeerLink::LostIn);
+    expect_convergence_after(PeerLink::DropInbound);
 }
 
 #[gtest]
 fn nodes_learn_a_configuration_after_outbound_loss() {
-    expect_convergence_after(PeerLink::LostOut);
+    expect_convergence_after(PeerLink::DropOutbound);
 }
 
 /// Publishes a configuration during a loss and checks that all nodes learn it once the loss is over.
 fn expect_convergence_after(loss: PeerLink) {
     let fleet = Fleet::start();
     fleet.until_all_converged(1);
-    let before: Vec<u64> = fleet.proxies.iter().map(PeerProxy::lost).collect();
+    let before: Vec<u64> = fleet.proxies.iter().map(PeerProxy::dropped).collect();
     fleet.set(loss);
     fleet.publish(2);
     eventually(|| field(&fleet.nodes[0], "configuration_version") == 2);
     // Longer than all queries for one revision take.
     thread::sleep(LOSS_DURATION);
     for (proxy, before) in fleet.proxies.iter().zip(before) {
-        expect_that!(proxy.lost(), gt(before));
+        expect_that!(proxy.dropped(), gt(before));
     }
-    fleet.set(PeerLink::Sound);
+    fleet.set(PeerLink::Healthy);
     fleet.until_all_converged(2);
 }
 
@@ -169,14 +169,14 @@
 }
 
 fn datagram_client() -> UdpSocket {
-    let socket = UdpSocket::bind((own_address(), 0)).unwrap();
+    let socket = UdpSocket::bind((unique_address(), 0)).unwrap();
     socket.set_read_timeout(Some(ECHO_TIMEOUT)).unwrap();
     socket
 }
 
 #[gtest]
 fn datagrams_are_forwarded_delayed_or_dropped_and_responses_reach_their_sender() {
-    let (advertised, bound) = (own_address(), own_address());
+    let (advertised, bound) = (unique_address(), unique_address());
     let proxy = PeerProxy::start(advertised, bound);
     for port in [GOSSIP_PORT, RELAY_PORT, QUARANTINE_PORT] {
         echo_datagrams((bound, port).into());
@@ -186,12 +186,12 @@
         send(&other, to, "other");
         expect_that!(receive(&one, to), eq("one"));
         expect_that!(receive(&other, to), eq("other"));
-        for loss in [PeerLink::Silent, PeerLink::LostIn, PeerLink::LostOut, PeerLink::Reset] {
-            let lost = proxy.lost();
+        for loss in [PeerLink::DropAll, PeerLink::DropInbound, PeerLink::DropOutbound, PeerLink::Reset] {
+            let dropped = proxy.dropped();
             proxy.set(loss);
             send(&one, to, "lost");
-            eventually(|| proxy.lost() == lost + 1);
-            proxy.set(PeerLink::Sound);
+            eventually(|| proxy.dropped() == dropped + 1);
+            proxy.set(PeerLink::Healthy);
             send(&one, to, "sound");
             expect_that!(receive(&one, to), eq("sound"));
         }
@@ -201,7 +201,7 @@
         expect_that!(receive(&one, to), eq("slow"));
         // Both directions are delayed.
         expect_that!(sent_at.elapsed(), ge(2 * LINK_DELAY));
-        proxy.set(PeerLink::Sound);
+        proxy.set(PeerLink::Healthy);
     }
 }
 
@@ -218,26 +218,26 @@
 
 #[gtest]
 fn connections_are_forwarded_with_their_end_dropped_after_a_loss_and_reset() {
-    let (advertised, bound) = (own_address(), own_address());
+    let (advertised, bound) = (unique_address(), unique_address());
     let proxy = PeerProxy::start(advertised, bound);
     echo_connections((bound, GOSSIP_PORT).into());
     let to = SocketAddr::from((advertised, GOSSIP_PORT));
     let stream = echoed_connection(to);
     stream.shutdown(std::net::Shutdown::Write).unwrap();
     expect_that!((&stream).read(&mut [0; 4]).unwrap(), eq(0));
-    for loss in [PeerLink::Silent, PeerLink::LostIn, PeerLink::LostOut] {
+    for loss in [PeerLink::DropAll, PeerLink::DropInbound, PeerLink::DropOutbound] {
         let mut stream = echoed_connection(to);
-        let lost = proxy.lost();
+        let dropped = proxy.dropped();
         proxy.set(loss);
         stream.write_all(b"lost").unwrap();
-        eventually(|| proxy.lost() == lost + 1);
-        proxy.set(PeerLink::Sound);
+        eventually(|| proxy.dropped() == dropped + 1);
+        proxy.set(PeerLink::Healthy);
         stream.write_all(b"more").unwrap();
-        eventually(|| proxy.lost() == lost + 2);
+        eventually(|| proxy.dropped() == dropped + 2);
         // The end of the connection is dropped as well; wait for it, so that it is not counted for the next
         // one.
         drop(stream);
-        eventually(|| proxy.lost() == lost + 3);
+        eventually(|| proxy.dropped() == dropped + 3);
     }
     let mut stream = echoed_connection(to);
     proxy.set(PeerLink::Reset);
@@ -246,7 +246,7 @@
 
 #[gtest]
 fn a_dropped_proxy_releases_its_addresses() {
-    let (advertised, bound) = (own_address(), own_address());
+    let (advertised, bound) = (unique_address(), unique_address());
     drop(PeerProxy::start(advertised, bound));
     eventually(|| {
         let gossip = UdpSocket::bind((advertised, GOSSIP_PORT)).is_ok();
--- a/standins/tests/pipelining.rs
+++ b/standins/tests/pipelining.rs
@@ -13,8 +13,8 @@
         time::{Duration, Instant},
     },
     users_platform::{
-        ConfigurationOptions, HOST, Manner, Message, NodeProcess, Options, Store, Upstream, eventually,
-        read_message, request_head,
+        ConfigurationOptions, HOST, Message, NodeProcess, Options, Store, Upstream, UpstreamBehaviour,
+        eventually, read_message, request_head,
     },
 };
 
@@ -33,31 +33,34 @@
 }
 
 /// Starts a ready node and upstreams that all behave alike.
-fn start_with_upstreams(behaviour: Manner, upstreams: usize) -> (NodeProcess, Store, Vec<Upstream>) {
+fn start_with_upstreams(
+    behaviour: UpstreamBehaviour,
+    upstreams: usize,
+) -> (NodeProcess, Store, Vec<Upstream>) {
     let store = Store::start();
     let upstreams: Vec<Upstream> =
         (0..upstreams).map(|number| Upstream::start(&format!("i-{number}"), behaviour)).collect();
     store.configure_with(5, &ROUTES, &configuration_options());
     upstreams.iter().for_each(|upstream| store.list(upstream, "ready", 1));
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     (node, store, upstreams)
 }
 
 /// Starts a ready node with options and one upstream.
-fn start_with_options(options: Options, behaviour: Manner) -> (NodeProcess, Store, Vec<Upstream>) {
+fn start_with_options(options: Options, behaviour: UpstreamBehaviour) -> (NodeProcess, Store, Vec<Upstream>) {
     let store = Store::start();
     let upstreams = vec![Upstream::start("i-0", behaviour)];
     store.configure_with(5, &ROUTES, &configuration_options());
     store.list(&upstreams[0], "ready", 1);
     let node = NodeProcess::start_with_options(&store, options);
-    node.until_ready();
+    node.wait_until_ready();
     (node, store, upstreams)
 }
 
 /// Opens a connection and sends all requests at once.
 fn send_pipelined(node: &NodeProcess, requests: &[String]) -> (TcpStream, BufReader<TcpStream>) {
-    let mut stream = TcpStream::connect(node.traffic()).unwrap();
+    let mut stream = TcpStream::connect(node.traffic_address()).unwrap();
     stream.write_all(requests.concat().as_bytes()).unwrap();
     let reader = BufReader::new(stream.try_clone().unwrap());
     (stream, reader)
@@ -68,12 +71,12 @@
 }
 
 fn run_count(upstreams: &[Upstream]) -> usize {
-    upstreams.iter().map(Upstream::runs).sum()
+    upstreams.iter().map(Upstream::run_count).sum()
 }
 
 /// Number of distinct requests that ran; a hedged one counts once.
 fn distinct_requests_run(upstreams: &[Upstream]) -> usize {
-    let ids = upstreams.iter().flat_map(|upstream| upstream.ran.lock().unwrap().clone());
+    let ids = upstreams.iter().flat_map(|upstream| upstream.executed_ids.lock().unwrap().clone());
     ids.collect::<HashSet<String>>().len()
 }
 
@@ -119,7 +122,7 @@
 
 #[gtest]
 fn safe_requests_are_forwarded_concurrently_and_answered_in_order() {
-    let (node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 4);
+    let (node, _store, upstreams) = start_with_upstreams(UpstreamBehaviour::Delayed(WORK_MS), 4);
     let requests: Vec<String> = (0..4).map(get).collect();
     let (_stream, mut reader) = send_pipelined(&node, &requests);
     expect_responses(&mut reader, ids(1));
@@ -129,7 +132,7 @@
 
 #[gtest]
 fn a_long_pipeline_is_answered_completely_with_bounded_concurrency() {
-    let (node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 6);
+    let (node, _store, upstreams) = start_with_upstreams(UpstreamBehaviour::Delayed(WORK_MS), 6);
     let requests: Vec<String> = (0..40).map(get).collect();
     let (_stream, mut reader) = send_pipelined(&node, &requests);
     expect_responses(&mut reader, ids(40));
@@ -139,7 +142,7 @@
 
 #[gtest]
 fn an_unsafe_request_starts_once_those_before_it_are_answered() {
-    let (node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 4);
+    let (node, _store, upstreams) = start_with_upstreams(UpstreamBehaviour::Delayed(WORK_MS), 4);
     let unsafe_request = request_head("POST", "/unsafe/a", "id-1", 20_000);
     let (_stream, mut reader) = send_pipelined(&node, &[get(0), unsafe_request, get(2)]);
     expect_responses(&mut reader, ids(3));
@@ -151,7 +154,7 @@
 
 #[gtest]
 fn bytes_of_a_body_are_never_parsed_as_a_request() {
-    let (node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 4);
+    let (node, _store, upstreams) = start_with_upstreams(UpstreamBehaviour::Delayed(WORK_MS), 4);
     let hidden = get(9);
     let start = |id: &str| {
         format!(
@@ -172,9 +175,9 @@
 
 #[gtest]
 fn a_fragmented_head_after_another_request_is_served() {
-    let (node, _store, _upstreams) = start_with_upstreams(Manner::After(WORK_MS), 4);
+    let (node, _store, _upstreams) = start_with_upstreams(UpstreamBehaviour::Delayed(WORK_MS), 4);
     let requests = [get(0), get(1)].concat();
-    let mut stream = TcpStream::connect(node.traffic()).unwrap();
+    let mut stream = TcpStream::connect(node.traffic_address()).unwrap();
     for piece in requests.as_bytes().chunks(requests.len() / 2 + 30) {
         stream.write_all(piece).unwrap();
         thread::sleep(Duration::from_millis(50));
@@ -185,30 +188,31 @@
 
 #[gtest]
 fn a_disconnect_cancels_all_pipelined_requests_at_their_upstreams() {
-    let (node, _store, upstreams) = start_with_upstreams(Manner::After(15_000), 4);
+    let (node, _store, upstreams) = start_with_upstreams(UpstreamBehaviour::Delayed(15_000), 4);
     let requests: Vec<String> = (0..3).map(get).collect();
     let (stream, reader) = send_pipelined(&node, &requests);
     eventually(|| run_count(&upstreams) == 3);
     drop((stream, reader));
-    let left = || upstreams.iter().map(|upstream| upstream.left.load(Ordering::SeqCst)).sum::<usize>();
-    eventually(|| left() == 3);
+    let disconnects =
+        || upstreams.iter().map(|upstream| upstream.disconnects.load(Ordering::SeqCst)).sum::<usize>();
+    eventually(|| disconnects() == 3);
 }
 
 #[gtest]
 fn a_request_not_yet_read_when_its_caller_disconnects_is_never_sent() {
-    let (node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 1);
+    let (node, _store, upstreams) = start_with_upstreams(UpstreamBehaviour::Delayed(WORK_MS), 1);
     let unsafe_request = request_head("POST", "/unsafe/a", "id-1", 20_000);
     let (stream, reader) = send_pipelined(&node, &[get(0), unsafe_request]);
     eventually(|| run_count(&upstreams) == 1);
     drop((stream, reader));
-    eventually(|| upstreams[0].left.load(Ordering::SeqCst) == 1);
+    eventually(|| upstreams[0].disconnects.load(Ordering::SeqCst) == 1);
     thread::sleep(Duration::from_millis(2 * WORK_MS));
     expect_that!(arrived_at(&upstreams, "id-1"), none());
 }
 
 #[gtest]
 fn a_graceful_shutdown_answers_requests_in_flight_and_announces_the_close() {
-    let (mut node, _store, upstreams) = start_with_upstreams(Manner::After(WORK_MS), 4);
+    let (mut node, _store, upstreams) = start_with_upstreams(UpstreamBehaviour::Delayed(WORK_MS), 4);
     let requests: Vec<String> = (0..3).map(get).collect();
     let (mut stream, mut reader) = send_pipelined(&node, &requests);
     eventually(|| run_count(&upstreams) == 3);
@@ -220,14 +224,14 @@
     let closes: Vec<bool> =
         responses.iter().map(|response| response.header("connection") == Some("close")).collect();
     expect_that!(closes, elements_are![eq(&false), eq(&false), eq(&true)]);
-    expect_that!(node.ended(), some(eq(0)));
+    expect_that!(node.wait_for_exit(), some(eq(0)));
     expect_that!(arrived_at(&upstreams, "late"), none());
 }
 
 #[gtest]
 fn without_pipelining_a_body_that_arrives_with_its_head_is_read() {
     let options = Options { pipeline_requests: Some(1), ..Options::default() };
-    let (node, _store, upstreams) = start_with_options(options, Manner::Well);
+    let (node, _store, upstreams) = start_with_options(options, UpstreamBehaviour::Normal);
     for number in 0..3 {
         let unsafe_request = request_head("POST", "/unsafe/a", &format!("id-{number}"), 5_000);
         let response = node.request("POST", "/unsafe/a", &format!("one-{number}"), 5_000).unwrap();
--- a/standins/tests/restarted_upstreams.rs
+++ b/standins/tests/restarted_upstreams.rs
@@ -12,7 +12,7 @@
         thread,
         time::{Duration, Instant},
     },
-    users_platform::{Manner, NodeProcess, Store, Upstream, eventually},
+    users_platform::{NodeProcess, Store, Upstream, UpstreamBehaviour, eventually},
 };
 
 const ROUTES: [(&str, &str, u64, &str); 1] = [("/safe/", "safe", 5_000, "app")];
@@ -35,7 +35,7 @@
     fn start() -> Self {
         let store = Store::start();
         store.configure(5, &ROUTES);
-        let upstream = Upstream::start("i-0", Manner::Well);
+        let upstream = Upstream::start("i-0", UpstreamBehaviour::Normal);
         let node = NodeProcess::start(&store);
         Self { node, store, upstream }
     }
@@ -70,7 +70,7 @@
 fn a_restarted_upstream_gets_requests_although_its_sequence_number_starts_over() {
     let fixture = Fixture::start();
     fixture.list(FIRST_START_MS, "ready", 50);
-    fixture.node.until_ready();
+    fixture.node.wait_until_ready();
     expect_that!(fixture.is_served_within(SERVED_WITHIN), eq(true));
     fixture.list(FIRST_START_MS, "draining", 51);
     eventually(|| !fixture.is_served());
@@ -82,7 +82,7 @@
 fn a_restarted_upstream_whose_entry_had_been_removed_gets_requests() {
     let fixture = Fixture::start();
     fixture.list(FIRST_START_MS, "ready", 50);
-    fixture.node.until_ready();
+    fixture.node.wait_until_ready();
     expect_that!(fixture.is_served_within(SERVED_WITHIN), eq(true));
     fixture.store.remove("servers/i-0");
     eventually(|| !fixture.is_served());
@@ -94,7 +94,7 @@
 fn a_late_entry_of_a_previous_incarnation_is_ignored() {
     let fixture = Fixture::start();
     fixture.list(SECOND_START_MS, "ready", 1);
-    fixture.node.until_ready();
+    fixture.node.wait_until_ready();
     expect_that!(fixture.is_served_within(SERVED_WITHIN), eq(true));
     fixture.list(FIRST_START_MS, "draining", 99);
     thread::sleep(SETTLE_TIME);
--- a/standins/tests/silent_connections.rs
+++ b/standins/tests/silent_connections.rs
@@ -9,7 +9,7 @@
     googletest::prelude::*,
     proxy::Proxy,
     std::{thread, time::Duration},
-    users_platform::{Log, Manner, NodeProcess, Store, Upstream, eventually, own_address},
+    users_platform::{Log, NodeProcess, Store, Upstream, UpstreamBehaviour, eventually, unique_address},
 };
 
 const ROUTES: [(&str, &str, u64, &str); 2] =
@@ -31,16 +31,17 @@
     fn start() -> Self {
         let store = Store::start();
         store.configure(5, &ROUTES);
-        let upstreams: Vec<Upstream> =
-            (0..UPSTREAMS).map(|number| Upstream::start(&format!("i-{number}"), Manner::Well)).collect();
+        let upstreams: Vec<Upstream> = (0..UPSTREAMS)
+            .map(|number| Upstream::start(&format!("i-{number}"), UpstreamBehaviour::Normal))
+            .collect();
         let upstream_proxies: Vec<Proxy> =
             upstreams.iter().map(|upstream| Proxy::start(upstream.address)).collect();
         for (upstream, proxy) in upstreams.iter().zip(&upstream_proxies) {
             store.list_at(upstream, proxy.address, "ready", 1);
         }
         let store_proxy = Proxy::start(store.address);
-        let node = NodeProcess::start_at(own_address(), store_proxy.address, &[], Log::File);
-        node.until_ready();
+        let node = NodeProcess::start_at(unique_address(), store_proxy.address, &[], Log::File);
+        node.wait_until_ready();
         Self { node, store, store_proxy, upstreams, upstream_proxies }
     }
 
@@ -62,14 +63,14 @@
         expect_that!(warm_up, each(eq(&200)));
         // Load reports become stale, so that the next probes use the silent connections first.
         thread::sleep(Duration::from_millis(60));
-        fixture.upstream_proxies.iter().for_each(Proxy::silence_open);
-        let runs_before: usize = fixture.upstreams.iter().map(Upstream::runs).sum();
+        fixture.upstream_proxies.iter().for_each(Proxy::silence_open_connections);
+        let runs_before: usize = fixture.upstreams.iter().map(Upstream::run_count).sum();
         let unsafe_requests = fixture.send(&format!("silent-{round}"), "POST", "/unsafe/a", 10);
         expect_that!(unsafe_requests, each(eq(&200)), "round {round}");
         let safe_requests = fixture.send(&format!("silent-{round}"), "GET", "/safe/a", 10);
         expect_that!(safe_requests, each(eq(&200)), "round {round}");
         // A hedge may run a safe request twice.
-        let ran = fixture.upstreams.iter().map(Upstream::runs).sum::<usize>() - runs_before;
+        let ran = fixture.upstreams.iter().map(Upstream::run_count).sum::<usize>() - runs_before;
         expect_that!(ran, all!(ge(20), le(30)));
     }
 }
@@ -79,7 +80,7 @@
     let fixture = Fixture::start();
     for version in 6..10 {
         let path = format!("/added-{version}/");
-        fixture.store_proxy.silence_open();
+        fixture.store_proxy.silence_open_connections();
         fixture.store.configure(version, &[(path.as_str(), "safe", 5_000, "app")]);
         eventually(|| fixture.node.request("GET", &path, "id", DEADLINE_MS).is_ok_and(|a| a.status() == 200));
     }
--- a/standins/tests/thin_links.rs
+++ b/standins/tests/slow_links.rs
@@ -16,7 +16,7 @@
         thread,
         time::Duration,
     },
-    users_platform::{HOST, Log, NodeProcess, Store, eventually, own_address, write_throttled},
+    users_platform::{HOST, Log, NodeProcess, Store, eventually, unique_address, write_throttled},
 };
 
 /// Bandwidth of a link of 10 Mbit/s, in bytes per second.
@@ -41,7 +41,7 @@
 /// Waits until a node serves the last route: it has no upstream and answers 503; until then it answers 404 or
 /// 503 because it is not ready.
 fn until_routes_known(node: &NodeProcess, routes: usize) {
-    node.until_ready();
+    node.wait_until_ready();
     let path = path(routes - 1);
     eventually(|| node.request("GET", &path, "1", 1_000).is_ok_and(|response| response.status() == 503));
 }
@@ -56,7 +56,7 @@
     let store = Store::start();
     publish(&store, 5, 1);
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     store.limit_bandwidth(BANDWIDTH_BYTES_PER_S);
     publish(&store, 6, ROUTES);
     until_routes_known(&node, ROUTES);
@@ -70,7 +70,7 @@
     let store = Store::start();
     publish(&store, 5, 1);
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     let range_calls = store.range_calls();
     store.limit_bandwidth(BANDWIDTH_BYTES_PER_S);
     for version in 6..16 {
@@ -96,10 +96,10 @@
 
 /// Starts a node that can learn the configuration only from a peer, which sends its responses with `write`.
 fn learn_from_a_peer(write: impl Fn(&mut TcpStream, &[u8]) -> io::Result<()> + Send + 'static) {
-    let peer = own_address();
+    let peer = unique_address();
     serve_state(peer, write);
-    let unreachable = SocketAddr::from((own_address(), 8_142));
-    let node = NodeProcess::start_at(own_address(), unreachable, &[peer], Log::File);
+    let unreachable = SocketAddr::from((unique_address(), 8_142));
+    let node = NodeProcess::start_at(unique_address(), unreachable, &[peer], Log::File);
     until_routes_known(&node, ROUTES);
 }
 
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -12,24 +12,24 @@
 mod caller;
 #[path = "soak/connection.rs"]
 mod connection;
-#[path = "soak/contact.rs"]
-mod contact;
-#[path = "soak/crashing.rs"]
-mod crashing;
+#[path = "soak/crashing_request.rs"]
+mod crashing_request;
 #[path = "soak/departures.rs"]
 mod departures;
-#[path = "soak/directory.rs"]
-mod directory;
-#[path = "soak/disturbances.rs"]
-mod disturbances;
 #[path = "soak/evacuations.rs"]
 mod evacuations;
+#[path = "soak/fault_history.rs"]
+mod fault_history;
+#[path = "soak/faults.rs"]
+mod faults;
 #[path = "soak/fleet.rs"]
 mod fleet;
 #[path = "soak/limits.rs"]
 mod limits;
 #[path = "soak/machine.rs"]
 mod machine;
+#[path = "soak/node.rs"]
+mod node;
 #[path = "soak/notices.rs"]
 mod notices;
 #[path = "soak/peer_proxy.rs"]
@@ -46,11 +46,11 @@
 mod restarts;
 #[path = "soak/series.rs"]
 mod series;
-#[path = "soak/shown.rs"]
-mod shown;
-#[path = "soak/site.rs"]
-mod site;
+#[path = "soak/upstreams.rs"]
+mod upstreams;
 mod users_platform;
+#[path = "soak/version_checks.rs"]
+mod version_checks;
 #[path = "soak/versions.rs"]
 mod versions;
 
@@ -124,7 +124,7 @@
     let rng = |number: usize| SmallRng::seed_from_u64(seed * 1_000 + 500 + number as u64);
     thread::scope(|scope| {
         for thread_index in 0..plan.fault_threads {
-            scope.spawn(move || disturbances::run(fleet, &mut rng(thread_index), plan.faults_per_thread));
+            scope.spawn(move || faults::run(fleet, &mut rng(thread_index), plan.faults_per_thread));
         }
         scope.spawn(move || series::run(fleet, plan, &mut rng(plan.fault_threads)));
         if plan.evacuations {
@@ -140,7 +140,7 @@
             scope.spawn(move || limits::run(fleet, &mut rng(plan.fault_threads + 5)));
         }
         if plan.crashes {
-            scope.spawn(move || crashing::run(fleet, &mut rng(plan.fault_threads + 2)));
+            scope.spawn(move || crashing_request::run(fleet, &mut rng(plan.fault_threads + 2)));
         }
     });
 }
@@ -160,7 +160,7 @@
     recovery::check(&fleet, &record, &ids);
     let departed = departures::check(&fleet, &record);
     evacuations::check(&fleet, &record);
-    let crashed = crashing::check(&fleet, &record);
+    let crashed = crashing_request::check(&fleet, &record);
     let notices = notices::check(&fleet, &record);
     let restarted = restarts::check(&fleet, &record);
     let limit_windows = limits::check(&fleet, &record);
@@ -196,7 +196,7 @@
         record.version_checks.checked(),
         departed.1,
         fleet.machine_stalls.count(),
-        fleet.store.slowest(),
+        fleet.store.slowest_response(),
     )
 }
 
@@ -225,7 +225,7 @@
     let mut processes = Vec::new();
     let panicked = catch_unwind(AssertUnwindSafe(|| {
         let fleet = Fleet::start(&plan);
-        processes = fleet.nodes.iter().filter_map(site::Node::process_id).collect();
+        processes = fleet.nodes.iter().filter_map(node::Node::process_id).collect();
         let (record, ids) = (Record::default(), AtomicU64::new(0));
         run_with_callers(&fleet, &plan, 1, &record, &ids, || {
             thread::scope(|scope| _ = scope.spawn(|| panic!("injected panic, as if addresses had run out")));
--- a/standins/tests/soak/crashing.rs
+++ b/standins/tests/soak/crashing_request.rs
@@ -54,13 +54,13 @@
         let down: Vec<Upstream> =
             fleet.upstreams().into_iter().map(|listed| listed.upstream).filter(Upstream::is_down).collect();
         thread::sleep(DOWNTIME);
-        down.iter().for_each(Upstream::start_again);
+        down.iter().for_each(Upstream::restart);
     }
     fleet
         .upstreams()
         .iter()
         .filter(|listed| listed.upstream.is_down())
-        .for_each(|listed| listed.upstream.start_again());
+        .for_each(|listed| listed.upstream.restart());
 }
 
 /// Checks crashes that come too long after the third; returns the number of crashes.
--- a/standins/tests/soak/departures.rs
+++ b/standins/tests/soak/departures.rs
@@ -1,7 +1,7 @@
 //! Checks that upstreams that left receive no requests after the allowed time.
 
 use {
-    crate::{directory::ListedUpstream, fleet::Fleet, record::Record},
+    crate::{fleet::Fleet, record::Record, upstreams::ListedUpstream},
     std::time::{Duration, Instant},
 };
 
--- a/standins/tests/soak/evacuations.rs
+++ b/standins/tests/soak/evacuations.rs
@@ -42,7 +42,7 @@
         let from = Instant::now();
         thread::sleep(Duration::from_millis(rng.random_range(DURATION_MS)));
         let until = Instant::now();
-        fleet.store.take_back(data_centre);
+        fleet.store.end_evacuation(data_centre);
         fleet.completed_evacuations.lock().unwrap().push(Evacuation { data_centre, from, until });
     }
 }
--- a/standins/tests/soak/disturbances.rs
+++ b/standins/tests/soak/faults.rs
@@ -3,33 +3,38 @@
 use {
     crate::{
         fleet::Fleet,
+        node::Node,
         peer_proxy::PeerLink,
         proxy::Link,
-        site::Node,
-        users_platform::{Manner, Upstream},
+        users_platform::{Upstream, UpstreamBehaviour},
     },
     rand::{Rng, rngs::SmallRng, seq::IndexedRandom},
     std::{thread, time::Duration},
 };
 
 /// Misbehaviours of upstreams.
-pub const MANNERS: [Manner; 9] = [
-    Manner::LoseAnswer,
-    Manner::OtherId,
-    Manner::Shed,
-    Manner::Bare503,
-    Manner::Misdirected,
-    Manner::CutShort,
-    Manner::Surplus,
-    Manner::Silent,
-    Manner::ForgetIdle,
+pub const BEHAVIOURS: [UpstreamBehaviour; 9] = [
+    UpstreamBehaviour::LoseResponse,
+    UpstreamBehaviour::WrongRequestId,
+    UpstreamBehaviour::Reject,
+    UpstreamBehaviour::Unmarked503,
+    UpstreamBehaviour::Misdirected,
+    UpstreamBehaviour::Truncated,
+    UpstreamBehaviour::DuplicateResponse,
+    UpstreamBehaviour::Silent,
+    UpstreamBehaviour::ResetIdle,
 ];
 const LINKS: [Link; 4] = [Link::Slow, Link::LostToServer, Link::LostToClient, Link::Broken];
 /// Delay of messages between nodes. A round trip stays below the 200 ms that a node waits for the first byte
 /// of a peer's answer.
 const PEER_DELAY: Duration = Duration::from_millis(60);
-const PEER_LINKS: [PeerLink; 5] =
-    [PeerLink::Slow(PEER_DELAY), PeerLink::Silent, PeerLink::LostIn, PeerLink::LostOut, PeerLink::Reset];
+const PEER_LINKS: [PeerLink; 5] = [
+    PeerLink::Slow(PEER_DELAY),
+    PeerLink::DropAll,
+    PeerLink::DropInbound,
+    PeerLink::DropOutbound,
+    PeerLink::Reset,
+];
 /// Duration of a fault, in milliseconds.
 const DURATION_MS: std::ops::Range<u64> = 200..1_500;
 /// Longest pause between two faults, in milliseconds.
@@ -99,7 +104,7 @@
     match upstreams.choose(rng).and_then(|listed| listed.link.as_ref().map(|link| (listed, link))) {
         Some((listed, link)) if rng.random_bool(0.5) => {
             let _fault = listed.faults.begin_fault();
-            link.silence_open();
+            link.silence_open_connections();
         }
         _ => node.silence_store(),
     }
@@ -120,25 +125,25 @@
             let _fault = listed.faults.begin_fault();
             link.set(*LINKS.choose(rng).unwrap());
             thread::sleep(time);
-            link.set(Link::Sound);
+            link.set(Link::Healthy);
         }
         _ => {
             fleet.count("spoil");
-            misbehave_for(&listed.upstream, *MANNERS.choose(rng).unwrap(), time);
+            misbehave_for(&listed.upstream, *BEHAVIOURS.choose(rng).unwrap(), time);
         }
     }
 }
 
 /// Makes an upstream misbehave for a time. Upstreams that announce a limit are left alone: the limit has to
 /// last.
-pub fn misbehave_for(upstream: &Upstream, manner: Manner, time: Duration) {
-    if upstream.names_limit() {
+pub fn misbehave_for(upstream: &Upstream, behaviour: UpstreamBehaviour, time: Duration) {
+    if upstream.announces_limit() {
         return;
     }
-    upstream.set(manner);
+    upstream.set_behaviour(behaviour);
     thread::sleep(time);
-    if !upstream.names_limit() {
-        upstream.set(Manner::Well);
+    if !upstream.announces_limit() {
+        upstream.set_behaviour(UpstreamBehaviour::Normal);
     }
 }
 
--- a/standins/tests/soak/fleet.rs
+++ b/standins/tests/soak/fleet.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        contact::FaultHistory,
-        directory::{Directory, ListedUpstream},
         evacuations::Evacuation,
+        fault_history::FaultHistory,
+        node::Node,
         plan::Plan,
         proxy::Link,
-        site::Node,
+        upstreams::{Directory, ListedUpstream},
         users_platform::Store,
         versions::Versions,
     },
@@ -49,14 +49,14 @@
         for nodes in fleet.nodes.chunks(STARTS_AT_ONCE) {
             thread::scope(|scope| nodes.iter().for_each(|node| _ = scope.spawn(|| fleet.boot(node))));
         }
-        fleet.nodes.iter().for_each(Node::until_ready);
+        fleet.nodes.iter().for_each(Node::wait_until_ready);
         fleet
     }
 
     /// With a large configuration, every other node has a thin link to the store.
     fn new_node(index: usize, plan: &Plan, store: &Store) -> Node {
         let thin = plan.extra_routes > 0 && index.is_multiple_of(2);
-        let link = if thin { Link::Thin } else { Link::Sound };
+        let link = if thin { Link::Thin } else { Link::Healthy };
         Node::new(store.address, link, index < plan.proxied_nodes)
     }
 
--- a/standins/tests/soak/limits.rs
+++ b/standins/tests/soak/limits.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        contact::SETTLE_TIME, departures::node_index_of, directory::ListedUpstream, fleet::Fleet,
-        record::Record, users_platform::Manner,
+        departures::node_index_of, fault_history::SETTLE_TIME, fleet::Fleet, record::Record,
+        upstreams::ListedUpstream, users_platform::UpstreamBehaviour,
     },
     rand::{Rng, rngs::SmallRng, seq::IndexedRandom},
     std::{
@@ -43,9 +43,9 @@
         let Some(index) = remaining.choose(rng) else { continue };
         let upstream = fleet.upstreams()[*index].upstream.clone();
         fleet.count("name a limit");
-        upstream.set(Manner::NameLimit { per_1000_s: rng.random_range(PER_1000_S) });
+        upstream.set_behaviour(UpstreamBehaviour::AnnounceLimit { per_1000_s: rng.random_range(PER_1000_S) });
         thread::sleep(Duration::from_millis(rng.random_range(DURATION_MS)));
-        upstream.set(Manner::Well);
+        upstream.set_behaviour(UpstreamBehaviour::Normal);
     }
 }
 
--- a/standins/tests/soak/site.rs
+++ b/standins/tests/soak/node.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
-        contact::{ActiveFault, FaultHistory},
+        fault_history::{ActiveFault, FaultHistory},
         peer_proxy::{PeerLink, PeerProxy},
         proxy::{Link, Proxy},
-        users_platform::{Log, NodeProcess, own_address},
+        users_platform::{Log, NodeProcess, unique_address},
     },
     std::{
         env, fs,
@@ -61,14 +61,14 @@
 
 impl PeerGate {
     fn start(advertised: Ipv4Addr) -> Self {
-        let bind_ip = own_address();
+        let bind_ip = unique_address();
         Self { proxy: PeerProxy::start(advertised, bind_ip), bind_ip }
     }
 }
 
 impl Node {
     pub fn new(store: SocketAddr, store_link: Link, has_peer_proxy: bool) -> Self {
-        let ip = own_address();
+        let ip = unique_address();
         let store = Proxy::start(store);
         store.set(store_link);
         Self {
@@ -97,8 +97,8 @@
         *self.process.lock().unwrap() = Some(node);
     }
 
-    pub fn until_ready(&self) {
-        self.process.lock().unwrap().as_ref().unwrap().until_ready();
+    pub fn wait_until_ready(&self) {
+        self.process.lock().unwrap().as_ref().unwrap().wait_until_ready();
     }
 
     /// Pauses the process; other signals may be sent meanwhile.
@@ -147,7 +147,7 @@
     /// connection reset.
     pub fn silence_store(&self) {
         let _fault = self.faults.begin_fault();
-        self.store.silence_open();
+        self.store.silence_open_connections();
     }
 
     /// Impairs messages from other nodes for a time; returns false if the node has no peer proxy.
@@ -156,7 +156,7 @@
         let _fault = self.faults.begin_fault();
         gate.proxy.set(link);
         thread::sleep(time);
-        gate.proxy.set(PeerLink::Sound);
+        gate.proxy.set(PeerLink::Healthy);
         true
     }
 
@@ -171,7 +171,7 @@
 
     /// Returns the log lines of the current process that contain a text.
     pub fn lines_with(&self, text: &str) -> Vec<String> {
-        let lines = self.process.lock().unwrap().as_ref().map(NodeProcess::lines).unwrap_or_default();
+        let lines = self.process.lock().unwrap().as_ref().map(NodeProcess::log_lines).unwrap_or_default();
         lines.lines().filter(|line| line.contains(text)).map(Into::into).collect()
     }
 
--- a/standins/tests/soak/notices.rs
+++ b/standins/tests/soak/notices.rs
@@ -4,11 +4,11 @@
 use {
     crate::{
         departures::node_index_of,
-        directory::ListedUpstream,
-        disturbances::misbehave_for,
+        faults::misbehave_for,
         fleet::Fleet,
         record::Record,
-        users_platform::{Manner, Upstream},
+        upstreams::ListedUpstream,
+        users_platform::{Upstream, UpstreamBehaviour},
     },
     rand::{Rng, rngs::SmallRng, seq::IndexedRandom},
     std::{
@@ -43,9 +43,11 @@
         thread::sleep(Duration::from_millis(rng.random_range(0..INTERVAL_MAX_MS)));
         let time = Duration::from_millis(rng.random_range(DURATION_MS));
         let pause_ms = rng.random_range(PAUSE_MS);
-        let manner = match fleet.directory.restarts() && rng.random_bool(0.5) {
-            true => Manner::AskForPauseLate { pause_ms, after_ms: rng.random_range(REFUSAL_DELAY_MS) },
-            false => Manner::AskForPause(pause_ms),
+        let behaviour = match fleet.directory.restarts() && rng.random_bool(0.5) {
+            true => {
+                UpstreamBehaviour::RequestPauseLate { pause_ms, after_ms: rng.random_range(REFUSAL_DELAY_MS) }
+            }
+            false => UpstreamBehaviour::RequestPause(pause_ms),
         };
         match rng.random_range(0..8) {
             0 => {
@@ -55,12 +57,12 @@
                 thread::scope(|scope| {
                     upstreams
                         .iter()
-                        .for_each(|upstream| _ = scope.spawn(|| misbehave_for(upstream, manner, time)));
+                        .for_each(|upstream| _ = scope.spawn(|| misbehave_for(upstream, behaviour, time)));
                 });
             }
             1..=4 => {
                 fleet.count("ask for a pause");
-                misbehave_for(&fleet.upstreams().choose(rng).unwrap().upstream, manner, time);
+                misbehave_for(&fleet.upstreams().choose(rng).unwrap().upstream, behaviour, time);
             }
             _ => announce_departure(fleet, rng, time),
         }
@@ -72,7 +74,7 @@
     fleet.directory.join();
     if let Some(index) = fleet.directory.remaining().choose(rng) {
         fleet.count("say leaving");
-        fleet.upstreams()[*index].upstream.set(Manner::SayLeaving);
+        fleet.upstreams()[*index].upstream.set_behaviour(UpstreamBehaviour::AnnounceLeaving);
         thread::sleep(time);
         fleet.directory.leave(*index, rng.random_bool(0.5));
     }
@@ -95,7 +97,7 @@
                 }
             }
         }
-        for (id, at) in listed.upstream.leavings.lock().unwrap().iter() {
+        for (id, at) in listed.upstream.departures.lock().unwrap().iter() {
             let late = arrivals_of(&listed, id).filter(|arrival| *arrival > *at + STOP_SENDING_WITHIN);
             let late: Vec<Instant> =
                 late.filter(|arrival| is_checkable(fleet, &listed, id, *at, *arrival)).collect();
--- a/standins/tests/soak/peer_proxy.rs
+++ b/standins/tests/soak/peer_proxy.rs
@@ -39,15 +39,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerLink {
     /// Forwards everything.
-    Sound,
+    Healthy,
     /// Delays each datagram, and each chunk read from a connection, by this time.
     Slow(Duration),
     /// Drops everything. Connections are still established, since the kernel accepts them.
-    Silent,
+    DropAll,
     /// Drops what is sent to the node.
-    LostIn,
+    DropInbound,
     /// Drops the node's answers.
-    LostOut,
+    DropOutbound,
     /// Resets connections and drops datagrams.
     Reset,
 }
@@ -61,10 +61,10 @@
 impl PeerLink {
     fn drops(self, direction: Direction) -> bool {
         match self {
-            Self::Sound | Self::Slow(_) => false,
-            Self::Silent | Self::Reset => true,
-            Self::LostIn => direction == Direction::In,
-            Self::LostOut => direction == Direction::Out,
+            Self::Healthy | Self::Slow(_) => false,
+            Self::DropAll | Self::Reset => true,
+            Self::DropInbound => direction == Direction::In,
+            Self::DropOutbound => direction == Direction::Out,
         }
     }
 
@@ -77,7 +77,7 @@
 struct Shared {
     link: Mutex<PeerLink>,
     stopped: AtomicBool,
-    lost: AtomicU64,
+    dropped: AtomicU64,
 }
 
 impl Shared {
@@ -89,8 +89,8 @@
         self.stopped.load(Ordering::SeqCst)
     }
 
-    fn count_lost(&self) {
-        self.lost.fetch_add(1, Ordering::SeqCst);
+    fn count_dropped(&self) {
+        self.dropped.fetch_add(1, Ordering::SeqCst);
     }
 }
 
@@ -103,9 +103,9 @@
 impl PeerProxy {
     pub fn start(advertised: Ipv4Addr, bind_ip: Ipv4Addr) -> Self {
         let shared = Arc::new(Shared {
-            link: Mutex::new(PeerLink::Sound),
+            link: Mutex::new(PeerLink::Healthy),
             stopped: AtomicBool::default(),
-            lost: AtomicU64::default(),
+            dropped: AtomicU64::default(),
         });
         for port in [GOSSIP_PORT, RELAY_PORT, QUARANTINE_PORT] {
             let outer = Arc::new(datagram_socket((advertised, port).into()).unwrap());
@@ -124,8 +124,8 @@
     }
 
     /// Returns the number of datagrams and connection chunks dropped so far.
-    pub fn lost(&self) -> u64 {
-        self.shared.lost.load(Ordering::SeqCst)
+    pub fn dropped(&self) -> u64 {
+        self.shared.dropped.load(Ordering::SeqCst)
     }
 }
 
@@ -216,7 +216,7 @@
         let Ok((length, from)) = socket.recv_from(&mut buffer) else { continue };
         let link = shared.link();
         if link.drops(direction) {
-            shared.count_lost();
+            shared.count_dropped();
         } else {
             handle(from, buffer[..length].to_vec(), Instant::now() + link.delay());
         }
@@ -262,7 +262,7 @@
 /// Forwards bytes in one direction until the stream ends, or until the link state or the proxy ends it.
 fn forward_bytes(mut from: &TcpStream, mut to: &TcpStream, direction: Direction, shared: &Shared) {
     let mut buffer = vec![0; READ_BUFFER_BYTES];
-    let mut lost = false;
+    let mut dropped = false;
     loop {
         let read = from.read(&mut buffer);
         let link = shared.link();
@@ -276,7 +276,7 @@
                 continue;
             }
             Err(_) => {
-                if !lost {
+                if !dropped {
                     _ = to.shutdown(Shutdown::Both);
                 }
                 return;
@@ -284,9 +284,9 @@
         };
         // Once bytes are dropped, nothing after them may pass, the end of the stream included: TCP data has
         // no gaps.
-        lost |= link.drops(direction);
-        if lost {
-            shared.count_lost();
+        dropped |= link.drops(direction);
+        if dropped {
+            shared.count_dropped();
         } else {
             thread::sleep(link.delay());
             let passed =
--- a/standins/tests/soak/proxy.rs
+++ b/standins/tests/soak/proxy.rs
@@ -11,13 +11,13 @@
     time::Duration,
 };
 
-use crate::users_platform::own_address;
+use crate::users_platform::unique_address;
 
 /// How the proxy treats the bytes of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     /// Forwards everything.
-    Sound,
+    Healthy,
     /// Delays each chunk read by [`DELAY`].
     Slow,
     /// Forwards at the rate of a thin link.
@@ -40,7 +40,7 @@
 pub struct Proxy {
     pub address: SocketAddr,
     link: Arc<Mutex<Link>>,
-    /// Number of calls of [`Proxy::silence_open`].
+    /// Number of calls of [`Proxy::silence_open_connections`].
     silences: Arc<AtomicU64>,
 }
 
@@ -52,10 +52,10 @@
 
 impl Proxy {
     pub fn start(server: SocketAddr) -> Self {
-        let listener = TcpListener::bind((own_address(), 9_000)).unwrap();
+        let listener = TcpListener::bind((unique_address(), 9_000)).unwrap();
         let proxy = Self {
             address: listener.local_addr().unwrap(),
-            link: Arc::new(Mutex::new(Link::Sound)),
+            link: Arc::new(Mutex::new(Link::Healthy)),
             silences: Arc::default(),
         };
         let accepting = proxy.clone();
@@ -70,7 +70,7 @@
 
     /// Makes open connections drop all data permanently without closing them; new connections follow the link
     /// state.
-    pub fn silence_open(&self) {
+    pub fn silence_open_connections(&self) {
         self.silences.fetch_add(1, Ordering::SeqCst);
     }
 
--- a/standins/tests/soak/record.rs
+++ b/standins/tests/soak/record.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        shown::VersionChecks,
-        users_platform::{Message, STAMP, Upstream},
+        users_platform::{Message, RESPONSE_STAMP_HEADER, Upstream},
+        version_checks::VersionChecks,
     },
     std::{
         collections::{BTreeMap, HashMap},
@@ -40,7 +40,7 @@
                 .violations
                 .push(format!("{id}: the answer names request {:?}", answer.header("pointvane-request-id")));
         }
-        if status == 200 && (answer.body != b"hello" || answer.header(STAMP) != Some("s")) {
+        if status == 200 && (answer.body != b"hello" || answer.header(RESPONSE_STAMP_HEADER) != Some("s")) {
             observations.violations.push(format!("{id}: status 200 without the upstream's complete answer"));
         }
         if matches!(status, 408 | 421 | 429 | 503) && !repeatable {
@@ -62,7 +62,12 @@
     pub fn violations(&self, upstreams: &[Upstream]) -> Vec<Violation> {
         let mut runs: HashMap<String, usize> = HashMap::new();
         for upstream in upstreams {
-            upstream.ran.lock().unwrap().iter().for_each(|id| *runs.entry(id.clone()).or_default() += 1);
+            upstream
+                .executed_ids
+                .lock()
+                .unwrap()
+                .iter()
+                .for_each(|id| *runs.entry(id.clone()).or_default() += 1);
         }
         let observations = self.observations.lock().unwrap();
         let mut violations = observations.violations.clone();
--- a/standins/tests/soak/recovery.rs
+++ b/standins/tests/soak/recovery.rs
@@ -4,8 +4,8 @@
     crate::{
         caller::{DEADLINE_MS, TRAFFIC_PORT},
         fleet::Fleet,
+        node::Node,
         record::Record,
-        site::Node,
         users_platform::{Message, call, request_head},
         versions::Marker,
     },
@@ -50,7 +50,7 @@
 /// Checks that all nodes run, serve the newest version's route, and send nothing to upstreams that left.
 pub fn check(fleet: &Fleet, record: &Record, ids: &AtomicU64) {
     let failures = fleet.upstreams().into_iter().filter_map(|listed| {
-        let failure = listed.upstream.accept_failure.lock().unwrap().clone()?;
+        let failure = listed.upstream.accept_error.lock().unwrap().clone()?;
         Some(format!("the harness could not accept a connection to {}: {failure}", listed.upstream.id))
     });
     failures.for_each(|failure| record.add_violation(failure));
@@ -99,6 +99,6 @@
         .upstreams()
         .iter()
         .filter(|listed| listed.left_at.is_some())
-        .map(|listed| listed.upstream.runs())
+        .map(|listed| listed.upstream.run_count())
         .collect()
 }
--- a/standins/tests/soak/restarts.rs
+++ b/standins/tests/soak/restarts.rs
@@ -2,7 +2,7 @@
 //! requests again.
 
 use {
-    crate::{directory::ListedUpstream, fleet::Fleet, record::Record, users_platform::Manner},
+    crate::{fleet::Fleet, record::Record, upstreams::ListedUpstream, users_platform::UpstreamBehaviour},
     rand::{Rng, rngs::SmallRng, seq::IndexedRandom},
     std::{
         ops::Range,
@@ -40,8 +40,8 @@
     let fault = listed.faults.begin_fault();
     listed.upstream.crash();
     thread::sleep(Duration::from_millis(rng.random_range(DOWNTIME_MS)));
-    listed.upstream.set(Manner::Well);
-    listed.upstream.start_again();
+    listed.upstream.set_behaviour(UpstreamBehaviour::Normal);
+    listed.upstream.restart();
     thread::sleep(Duration::from_millis(rng.random_range(0..RELIST_DELAY_MAX_MS)));
     fleet.directory.list_restarted(index);
     drop(fault);
--- a/standins/tests/soak/series.rs
+++ b/standins/tests/soak/series.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        disturbances::{MANNERS, misbehave_for, restart},
+        faults::{BEHAVIOURS, misbehave_for, restart},
         fleet::Fleet,
         plan::Plan,
     },
@@ -77,14 +77,14 @@
 /// Makes upstreams misbehave in every way, one after another.
 fn misbehave(fleet: &Fleet, _: &Plan, rng: &mut SmallRng) {
     fleet.count("misbehave");
-    let mut manners = MANNERS;
-    manners.shuffle(rng);
+    let mut behaviours = BEHAVIOURS;
+    behaviours.shuffle(rng);
     thread::scope(|scope| {
-        for manner in manners {
+        for behaviour in behaviours {
             let remaining = fleet.directory.remaining();
             if let Some(index) = remaining.choose(rng) {
                 let upstream = fleet.directory.all()[*index].upstream.clone();
-                scope.spawn(move || misbehave_for(&upstream, manner, MISBEHAVIOUR_TIME));
+                scope.spawn(move || misbehave_for(&upstream, behaviour, MISBEHAVIOUR_TIME));
             }
             thread::sleep(MISBEHAVIOUR_INTERVAL);
         }
--- a/standins/tests/soak/directory.rs
+++ b/standins/tests/soak/upstreams.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        contact::FaultHistory,
-        crashing::CRASHING_PATH,
+        crashing_request::CRASHING_PATH,
         evacuations::DATA_CENTRES,
+        fault_history::FaultHistory,
         plan::Plan,
         proxy::Proxy,
-        users_platform::{Life, Manner, Store, Upstream},
+        users_platform::{Incarnation, Store, Upstream, UpstreamBehaviour},
     },
     pointvane_telemetry::wall_ms,
     std::{
@@ -64,7 +64,7 @@
     /// Starts an upstream and adds its entry.
     pub fn join(&self) {
         let mut entries = self.entries.lock().unwrap();
-        let upstream = Upstream::start(&format!("i-{}", entries.len()), Manner::Well);
+        let upstream = Upstream::start(&format!("i-{}", entries.len()), UpstreamBehaviour::Normal);
         if self.crashes {
             upstream.crash_on(CRASHING_PATH);
         }
@@ -136,7 +136,7 @@
 
     fn list(&self, entry: &ListedUpstream, state: &str, sequence: u64) {
         let address = entry.link.as_ref().map_or(entry.upstream.address, |link| link.address);
-        let life = Life { sequence, born_ms: entry.born_ms };
-        self.store.list_life(&entry.upstream, address, entry.data_centre, state, &life);
+        let incarnation = Incarnation { sequence, born_ms: entry.born_ms };
+        self.store.list_incarnation(&entry.upstream, address, entry.data_centre, state, &incarnation);
     }
 }
--- a/standins/tests/stalled_upstreams.rs
+++ b/standins/tests/stalled_upstreams.rs
@@ -14,7 +14,7 @@
         thread,
         time::Duration,
     },
-    users_platform::{Manner, NodeProcess, Store, Upstream, own_address},
+    users_platform::{NodeProcess, Store, Upstream, UpstreamBehaviour, unique_address},
 };
 
 const ROUTES: [(&str, &str, u64, &str); 2] =
@@ -37,7 +37,7 @@
 impl FullListener {
     fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from((own_address(), 8_080)).into()).unwrap();
+        socket.bind(&SocketAddr::from((unique_address(), 8_080)).into()).unwrap();
         socket.listen(0).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
         // A backlog of 0 holds one connection.
@@ -63,16 +63,18 @@
     let store = Store::start();
     store.configure(5, &ROUTES);
     let idle: Vec<Upstream> = (0..2)
-        .map(|number| Upstream::start(&format!("i-{number}"), Manner::SlowProbes(PROBE_RESPONSE_MS)))
+        .map(|number| {
+            Upstream::start(&format!("i-{number}"), UpstreamBehaviour::SlowProbes(PROBE_RESPONSE_MS))
+        })
         .collect();
     idle.iter().for_each(|upstream| store.list(upstream, "ready", 1));
     let full: Vec<FullListener> = (0..4).map(|_| FullListener::start()).collect();
     for (number, listener) in full.iter().enumerate() {
-        let unreachable = Upstream::start(&format!("full-{number}"), Manner::Well);
+        let unreachable = Upstream::start(&format!("full-{number}"), UpstreamBehaviour::Normal);
         store.list_at(&unreachable, listener.address, "ready", 1);
     }
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     expect_that!(statuses(&node, "safe", 12), each(eq(&200)));
     expect_that!(statuses(&node, "unsafe", 12), each(eq(&200)));
 }
@@ -83,18 +85,18 @@
 fn a_request_waiting_for_a_silent_upstream_is_hedged_before_its_deadline() {
     let store = Store::start();
     store.configure(5, &ROUTES);
-    let start = |number, manner| {
-        let upstream = Upstream::start(&format!("i-{number}"), manner);
+    let start = |number, behaviour| {
+        let upstream = Upstream::start(&format!("i-{number}"), behaviour);
         store.list(&upstream, "ready", 1);
         upstream
     };
-    let _idle = start(0, Manner::SlowProbes(PROBE_RESPONSE_MS));
-    let silent = start(1, Manner::Well);
+    let _idle = start(0, UpstreamBehaviour::SlowProbes(PROBE_RESPONSE_MS));
+    let silent = start(1, UpstreamBehaviour::Normal);
     let node = NodeProcess::start(&store);
-    node.until_ready();
+    node.wait_until_ready();
     // Requests fill the hedge budget.
     expect_that!(statuses(&node, "safe", 40), each(eq(&200)));
-    silent.set(Manner::Silent);
+    silent.set_behaviour(UpstreamBehaviour::Silent);
     expect_that!(statuses(&node, "safe", 16), each(eq(&200)));
-    expect_that!(silent.runs(), ge(1));
+    expect_that!(silent.run_count(), ge(1));
 }
--- a/standins/tests/users_platform/addresses.rs
+++ b/standins/tests/users_platform/addresses.rs
@@ -44,7 +44,7 @@
 }
 
 /// Returns a loopback address that no other listener of any test process has.
-pub fn own_address() -> Ipv4Addr {
+pub fn unique_address() -> Ipv4Addr {
     /// Blocks reserved by this process; addresses are taken from the last one.
     static RESERVED: Mutex<Vec<Block>> = Mutex::new(Vec::new());
     let mut reserved = RESERVED.lock().unwrap();
--- a/standins/tests/users_platform/manner.rs
+++ b/standins/tests/users_platform/behaviour.rs
@@ -4,25 +4,25 @@
 
 /// How an upstream responds to requests. Health probes are answered in every case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum UpstreamBehaviour {
     /// A complete response.
-    Well,
+    Normal,
     /// A complete response after this many milliseconds.
-    After(u64),
+    Delayed(u64),
     /// Runs the request and closes the connection without a response.
-    LoseAnswer,
+    LoseResponse,
     /// Runs the request and responds with the id of another request.
-    OtherId,
+    WrongRequestId,
     /// Rejects the request with 503 and says that it did not run.
-    Shed,
+    Reject,
     /// Responds with 503 without saying that the request did not run.
-    Bare503,
+    Unmarked503,
     /// Responds that it is another upstream (421).
     Misdirected,
     /// Announces a length and closes the connection before that many bytes.
-    CutShort,
+    Truncated,
     /// A complete response followed by a second one.
-    Surplus,
+    DuplicateResponse,
     /// Runs the request and never responds.
     Silent,
     /// A complete response without a load report.
@@ -32,36 +32,36 @@
     /// A complete response; reports to probes that it is cold for another minute.
     Cold,
     /// Rejects requests and asks for a pause of this many milliseconds while reporting itself idle.
-    AskForPause(u64),
-    /// As [`Self::AskForPause`], but `after_ms` milliseconds after the request arrived, whether or not the
+    RequestPause(u64),
+    /// As [`Self::RequestPause`], but `after_ms` milliseconds after the request arrived, whether or not the
     /// connection is still open by then. Only a pause requested on an open connection is recorded.
-    AskForPauseLate { pause_ms: u64, after_ms: u64 },
-    /// As [`Self::AskForPauseLate`], shortly after the deadline of the request; the value is the pause in
+    RequestPauseLate { pause_ms: u64, after_ms: u64 },
+    /// As [`Self::RequestPauseLate`], shortly after the deadline of the request; the value is the pause in
     /// milliseconds.
-    AskForPauseAtDeadline(u64),
+    RequestPauseAtDeadline(u64),
     /// A complete response that announces that the upstream is leaving.
-    SayLeaving,
+    AnnounceLeaving,
     /// A complete response that announces how many requests per 1000 s the upstream accepts from all nodes
     /// together.
-    NameLimit { per_1000_s: u32 },
+    AnnounceLimit { per_1000_s: u32 },
     /// A complete response; resets a connection that was idle when the next bytes arrive.
-    ForgetIdle,
-    /// As [`Self::ForgetIdle`], without a load report.
-    ForgetIdleWithoutLoadReport,
+    ResetIdle,
+    /// As [`Self::ResetIdle`], without a load report.
+    ResetIdleWithoutLoadReport,
 }
 
 /// Time after the deadline at which a request held until then is rejected, in milliseconds: the sender has
 /// given up by then.
 const AFTER_DEADLINE_MS: u64 = 10;
 
-impl Manner {
+impl UpstreamBehaviour {
     /// Resolves the behaviour for one request: replaces a variant that depends on the deadline by one with a
     /// fixed delay.
     pub fn for_request(self, request: &Message) -> Self {
         match self {
-            Self::AskForPauseAtDeadline(pause_ms) => {
+            Self::RequestPauseAtDeadline(pause_ms) => {
                 let deadline_ms = request.header("pointvane-deadline-ms").and_then(|text| text.parse().ok());
-                Self::AskForPauseLate { pause_ms, after_ms: deadline_ms.unwrap_or(0) + AFTER_DEADLINE_MS }
+                Self::RequestPauseLate { pause_ms, after_ms: deadline_ms.unwrap_or(0) + AFTER_DEADLINE_MS }
             }
             other => other,
         }
--- a/standins/tests/users_platform/mod.rs
+++ b/standins/tests/users_platform/mod.rs
@@ -2,22 +2,22 @@
 #![allow(dead_code, unused_imports)]
 
 mod addresses;
-mod manner;
+mod behaviour;
 mod message;
 mod node;
 mod process;
 mod store;
-mod thin_link;
+mod throttled_write;
 mod upstream;
-mod upstream_answers;
+mod upstream_responses;
 
 pub use {
-    addresses::own_address,
-    manner::Manner,
+    addresses::unique_address,
+    behaviour::UpstreamBehaviour,
     message::{Message, call, read_message, request_head},
     node::{Log, NodeProcess, Options},
-    store::{Account, ConfigurationOptions, Life, Store},
-    thin_link::write_throttled,
+    store::{Account, ConfigurationOptions, Incarnation, Store},
+    throttled_write::write_throttled,
     upstream::Upstream,
 };
 
@@ -29,7 +29,7 @@
 /// Host of all routes in these tests.
 pub const HOST: &str = "app.example";
 /// Header by which an upstream marks its own responses.
-pub const STAMP: &str = "pointvane-response-stamp";
+pub const RESPONSE_STAMP_HEADER: &str = "pointvane-response-stamp";
 /// Maximum time that a test waits for anything.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
--- a/standins/tests/users_platform/node.rs
+++ b/standins/tests/users_platform/node.rs
@@ -4,8 +4,8 @@
     super::{
         eventually,
         message::{Message, call, request_head},
-        own_address,
         store::Store,
+        unique_address,
     },
     std::{
         fs, io,
@@ -116,7 +116,7 @@
 
     /// Starts a node with seeds and a log destination.
     pub fn start_with(store: &Store, seeds: &[Ipv4Addr], log: Log) -> Self {
-        Self::start_at(own_address(), store.address, seeds, log)
+        Self::start_at(unique_address(), store.address, seeds, log)
     }
 
     /// Starts a node at an address, which an earlier node may have used.
@@ -126,7 +126,7 @@
 
     /// Starts a node with the given options.
     pub fn start_with_options(store: &Store, options: Options) -> Self {
-        Self::launch(own_address(), options, store.address, &[], Log::File)
+        Self::launch(unique_address(), options, store.address, &[], Log::File)
     }
 
     /// Starts a node that advertises one address to the other nodes and listens for them at another.
@@ -166,7 +166,7 @@
     }
 
     /// Waits until the node reports that it is ready.
-    pub fn until_ready(&self) {
+    pub fn wait_until_ready(&self) {
         eventually(|| self.ready() == 200);
     }
 
@@ -184,13 +184,13 @@
     }
 
     /// Address at which the node accepts requests of callers.
-    pub fn traffic(&self) -> SocketAddr {
+    pub fn traffic_address(&self) -> SocketAddr {
         (self.ip, TRAFFIC_PORT).into()
     }
 
     /// Sends a request on a new connection.
     pub fn request(&self, method: &str, path: &str, id: &str, deadline_ms: u64) -> io::Result<Message> {
-        call(self.traffic(), &request_head(method, path, id, deadline_ms))
+        call(self.traffic_address(), &request_head(method, path, id, deadline_ms))
     }
 
     /// Process id.
@@ -210,7 +210,7 @@
     }
 
     /// Waits for the process to end and returns its exit code.
-    pub fn ended(&mut self) -> Option<i32> {
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         let mut code = None;
         eventually(|| match self.child.try_wait() {
             Ok(Some(status)) => {
@@ -223,7 +223,7 @@
     }
 
     /// The log lines written so far.
-    pub fn lines(&self) -> String {
+    pub fn log_lines(&self) -> String {
         fs::read_to_string(&self.output).unwrap_or_default()
     }
 }
--- a/standins/tests/users_platform/store.rs
+++ b/standins/tests/users_platform/store.rs
@@ -4,8 +4,8 @@
     super::{
         HOST,
         message::{Message, read_message},
-        own_address,
-        thin_link::write_throttled,
+        throttled_write::write_throttled,
+        unique_address,
         upstream::Upstream,
     },
     base64::{Engine, engine::general_purpose::STANDARD},
@@ -63,7 +63,7 @@
 }
 
 /// Identifies an incarnation of an upstream in its entry.
-pub struct Life {
+pub struct Incarnation {
     /// Sequence number of the update.
     pub sequence: u64,
     /// Start time in Unix milliseconds; none to leave it out of the entry.
@@ -92,7 +92,7 @@
 impl Store {
     /// Starts a store on a loopback address of its own.
     pub fn start() -> Self {
-        let listener = TcpListener::bind((own_address(), 8_142)).unwrap();
+        let listener = TcpListener::bind((unique_address(), 8_142)).unwrap();
         let store = Self {
             address: listener.local_addr().unwrap(),
             stored: Arc::default(),
@@ -121,7 +121,7 @@
     }
 
     /// Longest time that a response took to assemble, without the wait of a watch.
-    pub fn slowest(&self) -> Duration {
+    pub fn slowest_response(&self) -> Duration {
         Duration::from_micros(self.slowest_us.load(Ordering::Relaxed))
     }
 
@@ -251,13 +251,20 @@
         state: &str,
         sequence: u64,
     ) {
-        self.list_life(upstream, address, zone, state, &Life { sequence, born_ms: None });
+        self.list_incarnation(upstream, address, zone, state, &Incarnation { sequence, born_ms: None });
     }
 
     /// As [`Self::list_with`], with the start time of the incarnation.
-    pub fn list_life(&self, upstream: &Upstream, address: SocketAddr, zone: &str, state: &str, life: &Life) {
-        let sequence = life.sequence;
-        let born = life.born_ms.map(|born_ms| format!(r#""born":{born_ms},"#)).unwrap_or_default();
+    pub fn list_incarnation(
+        &self,
+        upstream: &Upstream,
+        address: SocketAddr,
+        zone: &str,
+        state: &str,
+        incarnation: &Incarnation,
+    ) {
+        let sequence = incarnation.sequence;
+        let born = incarnation.born_ms.map(|born_ms| format!(r#""born":{born_ms},"#)).unwrap_or_default();
         self.put(
             &format!("servers/{}", upstream.id),
             &format!(
@@ -272,7 +279,7 @@
     }
 
     /// Ends the evacuation of a data centre.
-    pub fn take_back(&self, zone: &str) {
+    pub fn end_evacuation(&self, zone: &str) {
         self.remove(&format!("op/evacuate/{zone}"));
     }
 
--- a/standins/tests/users_platform/upstream.rs
+++ b/standins/tests/users_platform/upstream.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
-        STAMP, WAIT_TIMEOUT,
-        manner::Manner,
+        RESPONSE_STAMP_HEADER, WAIT_TIMEOUT,
+        behaviour::UpstreamBehaviour,
         message::{Message, read_message},
-        own_address,
         process::SimulatedProcess,
-        upstream_answers::{
+        unique_address,
+        upstream_responses::{
             is_closed, is_closed_within, write_health, write_ok, write_ok_leaving, write_ok_with_limit,
             write_pause_request, write_rejection,
         },
@@ -47,17 +47,17 @@
 pub struct Upstream {
     pub id: String,
     pub address: SocketAddr,
-    manner: Arc<Mutex<Manner>>,
+    behaviour: Arc<Mutex<UpstreamBehaviour>>,
     /// Number of requests that it ran.
-    pub runs: Arc<AtomicUsize>,
+    pub run_count: Arc<AtomicUsize>,
     /// Ids of the requests that it ran.
-    pub ran: Arc<Mutex<Vec<String>>>,
+    pub executed_ids: Arc<Mutex<Vec<String>>>,
     /// Ids and arrival times of requests, without those that it answered as another upstream.
     pub arrivals: Arc<Mutex<Vec<(String, Instant)>>>,
     /// Number of requests whose connection was closed before their response was due.
-    pub left: Arc<AtomicUsize>,
+    pub disconnects: Arc<AtomicUsize>,
     /// Number of health probes.
-    pub asked: Arc<AtomicUsize>,
+    pub health_probes: Arc<AtomicUsize>,
     /// The last request.
     pub last: Arc<Mutex<Message>>,
     /// Ids of requests that crashed it, and when.
@@ -67,31 +67,31 @@
     /// Limits in its responses since it first announced one.
     pub limits: Arc<Mutex<Vec<AnnouncedLimit>>>,
     /// Ids of requests in whose responses it announced that it is leaving, and when.
-    pub leavings: Arc<Mutex<Vec<(String, Instant)>>>,
+    pub departures: Arc<Mutex<Vec<(String, Instant)>>>,
     /// The last error of accepting a connection, for example when the process has no file descriptors left.
-    pub accept_failure: Arc<Mutex<Option<String>>>,
+    pub accept_error: Arc<Mutex<Option<String>>>,
     process: SimulatedProcess,
 }
 
 impl Upstream {
     /// Starts an upstream on a loopback address of its own.
-    pub fn start(id: &str, manner: Manner) -> Self {
-        let listener = TcpListener::bind((own_address(), 8_080)).unwrap();
+    pub fn start(id: &str, behaviour: UpstreamBehaviour) -> Self {
+        let listener = TcpListener::bind((unique_address(), 8_080)).unwrap();
         let upstream = Self {
             id: id.into(),
             address: listener.local_addr().unwrap(),
-            manner: Arc::new(Mutex::new(manner)),
-            runs: Arc::default(),
-            ran: Arc::default(),
+            behaviour: Arc::new(Mutex::new(behaviour)),
+            run_count: Arc::default(),
+            executed_ids: Arc::default(),
             arrivals: Arc::default(),
-            left: Arc::default(),
-            asked: Arc::default(),
+            disconnects: Arc::default(),
+            health_probes: Arc::default(),
             last: Arc::default(),
             crashes: Arc::default(),
             pauses: Arc::default(),
             limits: Arc::default(),
-            leavings: Arc::default(),
-            accept_failure: Arc::default(),
+            departures: Arc::default(),
+            accept_error: Arc::default(),
             process: SimulatedProcess::default(),
         };
         upstream.listen(listener);
@@ -120,7 +120,7 @@
     /// Records a failed accept: this is a fault of the test harness and must not count against the code under
     /// test.
     fn record_accept_error(&self, error: &io::Error) {
-        *self.accept_failure.lock().unwrap() = Some(error.to_string());
+        *self.accept_error.lock().unwrap() = Some(error.to_string());
         thread::sleep(ACCEPT_RETRY_DELAY);
     }
 
@@ -140,18 +140,18 @@
     }
 
     /// Restarts at the same address after a crash.
-    pub fn start_again(&self) {
+    pub fn restart(&self) {
         self.listen(TcpListener::bind(self.address).unwrap());
     }
 
     /// Sets the behaviour for requests from now on.
-    pub fn set(&self, manner: Manner) {
-        *self.manner.lock().unwrap() = manner;
+    pub fn set_behaviour(&self, behaviour: UpstreamBehaviour) {
+        *self.behaviour.lock().unwrap() = behaviour;
     }
 
     /// Number of requests that it ran.
-    pub fn runs(&self) -> usize {
-        self.runs.load(Ordering::SeqCst)
+    pub fn run_count(&self) -> usize {
+        self.run_count.load(Ordering::SeqCst)
     }
 
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
@@ -162,8 +162,11 @@
         let mut reader = BufReader::new(&*stream);
         loop {
             let idle_since = Instant::now();
-            let manner = *self.manner.lock().unwrap();
-            if matches!(manner, Manner::ForgetIdle | Manner::ForgetIdleWithoutLoadReport) {
+            let behaviour = *self.behaviour.lock().unwrap();
+            if matches!(
+                behaviour,
+                UpstreamBehaviour::ResetIdle | UpstreamBehaviour::ResetIdleWithoutLoadReport
+            ) {
                 stream.peek(&mut [0; 1])?;
                 if idle_since.elapsed() > IDLE_TIMEOUT {
                     // Closing a socket with unread bytes resets the connection.
@@ -172,12 +175,12 @@
             }
             let request = read_message(&mut reader)?;
             if request.target() == "/health" {
-                self.asked.fetch_add(1, Ordering::SeqCst);
-                let manner = *self.manner.lock().unwrap();
-                if let Manner::SlowProbes(after_ms) = manner {
+                self.health_probes.fetch_add(1, Ordering::SeqCst);
+                let behaviour = *self.behaviour.lock().unwrap();
+                if let UpstreamBehaviour::SlowProbes(after_ms) = behaviour {
                     thread::sleep(Duration::from_millis(after_ms));
                 }
-                write_health(&stream, &self.id, manner)?;
+                write_health(&stream, &self.id, behaviour)?;
                 continue;
             }
             if !self.handle(&stream, &request)? {
@@ -189,22 +192,25 @@
     /// Handles one request; returns false if the connection must be closed.
     fn handle(&self, stream: &TcpStream, request: &Message) -> io::Result<bool> {
         *self.last.lock().unwrap() = request.clone();
-        let manner = self.manner.lock().unwrap().for_request(request);
+        let behaviour = self.behaviour.lock().unwrap().for_request(request);
         let id = request.header("pointvane-request-id").unwrap_or_default();
         let expected = request.header("pointvane-expect-instance").unwrap_or_default();
         if expected != self.id {
             write_rejection(stream, "421 Misdirected Request", id, "pointvane-not-executed: 1\r\n")?;
             return Ok(true);
         }
-        if manner != Manner::Misdirected {
+        if behaviour != UpstreamBehaviour::Misdirected {
             self.arrivals.lock().unwrap().push((id.into(), Instant::now()));
         }
         if !matches!(
-            manner,
-            Manner::Shed | Manner::AskForPause(_) | Manner::AskForPauseLate { .. } | Manner::Misdirected
+            behaviour,
+            UpstreamBehaviour::Reject
+                | UpstreamBehaviour::RequestPause(_)
+                | UpstreamBehaviour::RequestPauseLate { .. }
+                | UpstreamBehaviour::Misdirected
         ) {
-            self.runs.fetch_add(1, Ordering::SeqCst);
-            self.ran.lock().unwrap().push(id.into());
+            self.run_count.fetch_add(1, Ordering::SeqCst);
+            self.executed_ids.lock().unwrap().push(id.into());
         }
         if self.process.is_crash_target(request.target()) {
             thread::sleep(CRASH_DELAY);
@@ -212,15 +218,15 @@
             self.process.crash();
             return Ok(false);
         }
-        let keep_open = self.respond(stream, manner, id)?;
-        self.record_limit(manner, id);
+        let keep_open = self.respond(stream, behaviour, id)?;
+        self.record_limit(behaviour, id);
         Ok(keep_open)
     }
 
-    fn record_limit(&self, manner: Manner, id: &str) {
+    fn record_limit(&self, behaviour: UpstreamBehaviour, id: &str) {
         let mut limits = self.limits.lock().unwrap();
-        let announced = match manner {
-            Manner::NameLimit { per_1000_s } => Some(per_1000_s),
+        let announced = match behaviour {
+            UpstreamBehaviour::AnnounceLimit { per_1000_s } => Some(per_1000_s),
             _ if limits.is_empty() => return,
             _ => None,
         };
@@ -228,64 +234,69 @@
     }
 
     /// Whether it currently announces a limit.
-    pub fn names_limit(&self) -> bool {
-        matches!(*self.manner.lock().unwrap(), Manner::NameLimit { .. })
+    pub fn announces_limit(&self) -> bool {
+        matches!(*self.behaviour.lock().unwrap(), UpstreamBehaviour::AnnounceLimit { .. })
     }
 
     /// Responds to one request; returns false if the connection must be closed.
-    fn respond(&self, mut stream: &TcpStream, manner: Manner, id: &str) -> io::Result<bool> {
-        match manner {
-            Manner::Well | Manner::Cold | Manner::SlowProbes(_) | Manner::ForgetIdle => write_ok(stream, id)?,
-            Manner::NameLimit { per_1000_s } => write_ok_with_limit(stream, id, per_1000_s)?,
-            Manner::After(ms) => {
+    fn respond(&self, mut stream: &TcpStream, behaviour: UpstreamBehaviour, id: &str) -> io::Result<bool> {
+        match behaviour {
+            UpstreamBehaviour::Normal
+            | UpstreamBehaviour::Cold
+            | UpstreamBehaviour::SlowProbes(_)
+            | UpstreamBehaviour::ResetIdle => write_ok(stream, id)?,
+            UpstreamBehaviour::AnnounceLimit { per_1000_s } => write_ok_with_limit(stream, id, per_1000_s)?,
+            UpstreamBehaviour::Delayed(ms) => {
                 if is_closed_within(stream, Duration::from_millis(ms)) {
-                    self.left.fetch_add(1, Ordering::SeqCst);
+                    self.disconnects.fetch_add(1, Ordering::SeqCst);
                     return Ok(false);
                 }
                 write_ok(stream, id)?;
             }
-            Manner::LoseAnswer => return Ok(false),
-            Manner::NoLoadReport | Manner::ForgetIdleWithoutLoadReport => write!(
+            UpstreamBehaviour::LoseResponse => return Ok(false),
+            UpstreamBehaviour::NoLoadReport | UpstreamBehaviour::ResetIdleWithoutLoadReport => write!(
                 stream,
-                "HTTP/1.1 200 OK\r\ncontent-length: 5\r\npointvane-request-id: {id}\r\n{STAMP}: s\r\n\r\nhello"
+                "HTTP/1.1 200 OK\r\ncontent-length: 5\r\npointvane-request-id: {id}\r\n{RESPONSE_STAMP_HEADER}: s\r\n\r\nhello"
             )?,
-            Manner::OtherId => write_ok(stream, "another")?,
-            Manner::Shed => {
+            UpstreamBehaviour::WrongRequestId => write_ok(stream, "another")?,
+            UpstreamBehaviour::Reject => {
                 write_rejection(stream, "503 Service Unavailable", id, "pointvane-not-executed: 1\r\n")?
             }
-            Manner::AskForPause(pause_ms) => {
+            UpstreamBehaviour::RequestPause(pause_ms) => {
                 write_pause_request(stream, id, pause_ms)?;
-                let asked = (id.into(), Instant::now(), Duration::from_millis(pause_ms));
-                self.pauses.lock().unwrap().push(asked);
+                let pause = (id.into(), Instant::now(), Duration::from_millis(pause_ms));
+                self.pauses.lock().unwrap().push(pause);
             }
-            Manner::AskForPauseLate { pause_ms, after_ms } => {
+            UpstreamBehaviour::RequestPauseLate { pause_ms, after_ms } => {
                 thread::sleep(Duration::from_millis(after_ms));
                 let is_open = !is_closed(stream)?;
                 write_pause_request(stream, id, pause_ms)?;
                 if is_open {
-                    let asked = (id.into(), Instant::now(), Duration::from_millis(pause_ms));
-                    self.pauses.lock().unwrap().push(asked);
+                    let pause = (id.into(), Instant::now(), Duration::from_millis(pause_ms));
+                    self.pauses.lock().unwrap().push(pause);
                 }
             }
-            Manner::SayLeaving => {
+            UpstreamBehaviour::AnnounceLeaving => {
                 write_ok_leaving(stream, id)?;
-                self.leavings.lock().unwrap().push((id.into(), Instant::now()));
+                self.departures.lock().unwrap().push((id.into(), Instant::now()));
             }
-            Manner::Bare503 => write_rejection(stream, "503 Service Unavailable", id, "")?,
-            Manner::Misdirected => write_rejection(stream, "421 Misdirected Request", id, "")?,
-            Manner::CutShort => {
+            UpstreamBehaviour::Unmarked503 => write_rejection(stream, "503 Service Unavailable", id, "")?,
+            UpstreamBehaviour::Misdirected => write_rejection(stream, "421 Misdirected Request", id, "")?,
+            UpstreamBehaviour::Truncated => {
                 write!(
                     stream,
                     "HTTP/1.1 200 OK\r\ncontent-length: 100\r\npointvane-request-id: {id}\r\n\r\nhalf"
                 )?;
                 return Ok(false);
             }
-            Manner::Surplus => {
+            UpstreamBehaviour::DuplicateResponse => {
                 write_ok(stream, id)?;
                 write_ok(stream, id)?;
             }
-            Manner::AskForPauseAtDeadline(_) => unreachable!("resolved when the request was taken"),
-            Manner::Silent => {
+            UpstreamBehaviour::RequestPauseAtDeadline(_) => {
+                unreachable!("resolved when the request was taken")
+            }
+            UpstreamBehaviour::Silent => {
                 is_closed_within(stream, WAIT_TIMEOUT);
                 return Ok(false);
             }
--- a/standins/tests/users_platform/upstream_answers.rs
+++ b/standins/tests/users_platform/upstream_responses.rs
@@ -1,7 +1,7 @@
 //! Responses of a stand-in upstream.
 
 use {
-    super::{STAMP, manner::Manner},
+    super::{RESPONSE_STAMP_HEADER, behaviour::UpstreamBehaviour},
     std::{
         io::{self, Read, Write},
         net::TcpStream,
@@ -13,7 +13,7 @@
 pub fn write_ok(mut stream: &TcpStream, id: &str) -> io::Result<()> {
     write!(
         stream,
-        "HTTP/1.1 200 OK\r\ncontent-length: 5\r\npointvane-request-id: {id}\r\n{STAMP}: s\r\npointvane-instance-load: 1,0,3,100\r\n\r\nhello"
+        "HTTP/1.1 200 OK\r\ncontent-length: 5\r\npointvane-request-id: {id}\r\n{RESPONSE_STAMP_HEADER}: s\r\npointvane-instance-load: 1,0,3,100\r\n\r\nhello"
     )
 }
 
@@ -26,7 +26,7 @@
 pub fn write_ok_leaving(mut stream: &TcpStream, id: &str) -> io::Result<()> {
     write!(
         stream,
-        "HTTP/1.1 200 OK\r\ncontent-length: 5\r\npointvane-request-id: {id}\r\n{STAMP}: s\r\nserver-leaving: 1\r\npointvane-instance-load: 1,0,3,100\r\n\r\nhello"
+        "HTTP/1.1 200 OK\r\ncontent-length: 5\r\npointvane-request-id: {id}\r\n{RESPONSE_STAMP_HEADER}: s\r\nserver-leaving: 1\r\npointvane-instance-load: 1,0,3,100\r\n\r\nhello"
     )
 }
 
@@ -35,7 +35,7 @@
     let limit = f64::from(per_1000_s) / 1e3;
     write!(
         stream,
-        "HTTP/1.1 200 OK\r\ncontent-length: 5\r\npointvane-request-id: {id}\r\n{STAMP}: s\r\nserver-limit: {limit}\r\npointvane-instance-load: 1,0,3,100\r\n\r\nhello"
+        "HTTP/1.1 200 OK\r\ncontent-length: 5\r\npointvane-request-id: {id}\r\n{RESPONSE_STAMP_HEADER}: s\r\nserver-limit: {limit}\r\npointvane-instance-load: 1,0,3,100\r\n\r\nhello"
     )
 }
 
@@ -49,11 +49,13 @@
 }
 
 /// Answers a health probe, with the headers that the behaviour adds.
-pub fn write_health(mut stream: &TcpStream, upstream: &str, behaviour: Manner) -> io::Result<()> {
+pub fn write_health(mut stream: &TcpStream, upstream: &str, behaviour: UpstreamBehaviour) -> io::Result<()> {
     let extra = match behaviour {
-        Manner::NoLoadReport | Manner::ForgetIdleWithoutLoadReport => "",
-        Manner::SayLeaving => "pointvane-instance-load: 0,0,3,100\r\nserver-leaving: 1\r\n",
-        Manner::Cold => "pointvane-instance-load: 0,0,3,100\r\npointvane-warmup-remaining: 60000\r\n",
+        UpstreamBehaviour::NoLoadReport | UpstreamBehaviour::ResetIdleWithoutLoadReport => "",
+        UpstreamBehaviour::AnnounceLeaving => "pointvane-instance-load: 0,0,3,100\r\nserver-leaving: 1\r\n",
+        UpstreamBehaviour::Cold => {
+            "pointvane-instance-load: 0,0,3,100\r\npointvane-warmup-remaining: 60000\r\n"
+        }
         _ => "pointvane-instance-load: 0,0,3,100\r\n",
     };
     write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: 0\r\npointvane-instance-id: {upstream}\r\n{extra}\r\n")
