--- a/standins/src/admin.rs
+++ b/standins/src/admin.rs
@@ -1,7 +1,7 @@
 //! HTTP client for the control addresses of the stand-ins and for operator ports.
 
 use {
-    crate::upstream::{Behaviour, Done},
+    crate::upstream::{Behaviour, Records},
     eyre::{Result, eyre},
     serde::de::DeserializeOwned,
     std::{net::SocketAddr, time::Duration},
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// When the request fails or no upstream has this name.
-    pub fn done(&self, steering: SocketAddr, upstream: &str) -> Result<Done> {
+    pub fn records(&self, steering: SocketAddr, upstream: &str) -> Result<Records> {
         self.json(steering, &format!("/{upstream}"))
     }
 
--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -100,12 +100,17 @@
 /// [`DRAIN_TAKES_EFFECT_MAX`] was over.
 fn inject_faults(deployment: &mut Deployment) -> Result<u64> {
     thread::sleep(DRAIN_AFTER);
-    let (steering, name) = (deployment.steering(), deployment.plan.services[0].upstream_name(0));
-    deployment.admin.set_behaviour(steering, &name, &Behaviour { draining: true, ..Behaviour::default() })?;
+    let (control_address, name) =
+        (deployment.upstream_control_address(), deployment.plan.services[0].upstream_name(0));
+    deployment.admin.set_behaviour(
+        control_address,
+        &name,
+        &Behaviour { draining: true, ..Behaviour::default() },
+    )?;
     thread::sleep(STOP_AFTER - DRAIN_AFTER);
     deployment.vms[2].terminate_entry();
     thread::sleep(DRAIN_TAKES_EFFECT_MAX - (STOP_AFTER - DRAIN_AFTER));
-    let begun_at_bound = deployment.admin.done(steering, &name)?.begun_draining;
+    let begun_at_bound = deployment.admin.records(control_address, &name)?.begun_draining;
     deployment.vms[2].finish_stop();
     Ok(begun_at_bound)
 }
@@ -129,13 +134,16 @@
     }
     for service in &deployment.plan.services {
         for number in 0..service.instances {
-            let done = deployment.admin.done(deployment.steering(), &service.upstream_name(number))?;
-            let twice = done.keys.values().filter(|&&times| times > 1).count();
+            let records = deployment
+                .admin
+                .records(deployment.upstream_control_address(), &service.upstream_name(number))?;
+            let twice = records.keys.values().filter(|&&times| times > 1).count();
             check(twice == 0, format!("{twice} keys run twice at {}", service.upstream_name(number)));
         }
     }
     let name = deployment.plan.services[0].upstream_name(0);
-    let begun_late = deployment.admin.done(deployment.steering(), &name)?.begun_draining - begun_at_bound;
+    let begun_late = deployment.admin.records(deployment.upstream_control_address(), &name)?.begun_draining
+        - begun_at_bound;
     check(
         begun_late == 0,
         format!("{begun_late} requests begun at {name} more than {DRAIN_TAKES_EFFECT_MAX:?} after its drain"),
@@ -150,11 +158,11 @@
     let is_zero = |name: &str, value: u64| (value == 0, format!("{service}: {value} {name}"));
     vec![
         is_zero("cut", report.sum(|kind| kind.cut)),
-        is_zero("wrong", report.sum(|kind| kind.wrong)),
+        is_zero("wrong", report.sum(|kind| kind.mismatched)),
         is_zero("unknown", report.sum(|kind| kind.unknown)),
         is_zero("without an entry VM", report.sum(|kind| kind.no_entry)),
         is_zero("without an end", report.lost),
-        (report.sum(|kind| kind.whole) > 0, format!("{service}: no whole answer")),
+        (report.sum(|kind| kind.complete) > 0, format!("{service}: no whole answer")),
     ]
 }
 
@@ -166,8 +174,14 @@
     let mut table = Table::new(&columns);
     for (report, service) in reports.iter().zip(&deployment.plan.services) {
         for (kind, counts) in &report.kinds {
-            let numbers =
-                [counts.calls, counts.whole, counts.cut, counts.wrong, counts.not_run, counts.unknown];
+            let numbers = [
+                counts.calls,
+                counts.complete,
+                counts.cut,
+                counts.mismatched,
+                counts.not_run,
+                counts.unknown,
+            ];
             let times =
                 [50.0, 99.0, 99.9].map(|percentile| format!("{:.2}", counts.percentile_ms(percentile)));
             let names = [service.name.clone(), (*kind).to_owned()];
--- a/standins/src/deployment.rs
+++ b/standins/src/deployment.rs
@@ -26,7 +26,7 @@
     vm::Vm,
 };
 
-/// Longest time that [`wait`] waits for its condition.
+/// Longest time that [`wait_until`] waits for its condition.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -99,14 +99,14 @@
         let specs_file = self.directory.join("upstreams.json");
         fs::write(&specs_file, serde_json::to_vec(&specs)?)?;
         let platform = self.net.platform().to_string();
-        let steering = self.steering().to_string();
+        let control_address = self.upstream_control_address().to_string();
         let specs_file = specs_file.to_string_lossy();
-        let upstreams = ["--specs", &specs_file, "--steering", &steering];
+        let upstreams = ["--specs", &specs_file, "--steering", &control_address];
         self.stand_ins.push(spawn(Program::Platform, &["--address", &platform], &self.log("platform"))?);
         self.stand_ins.push(spawn(Program::Upstreams, &upstreams, &self.log("upstreams"))?);
-        wait("stand-ins", || {
+        wait_until("stand-ins", || {
             let accepts_connections = |address: SocketAddr| std::net::TcpStream::connect(address).is_ok();
-            accepts_connections(self.net.platform()) && accepts_connections(self.steering())
+            accepts_connections(self.net.platform()) && accepts_connections(self.upstream_control_address())
         })
     }
 
@@ -116,7 +116,7 @@
     /// When the file set cannot be written, is invalid or cannot be published.
     pub fn publish(&mut self) -> Result<()> {
         self.revision += 1;
-        let packed = self.packed(self.revision)?;
+        let packed = self.packed_configuration(self.revision)?;
         self.admin.publish(self.platform(), files::CONFIGURATION_KEY, &packed)
     }
 
@@ -124,7 +124,7 @@
     ///
     /// # Errors
     /// When the file set cannot be written or is invalid.
-    pub fn packed(&self, revision: u64) -> Result<Vec<u8>> {
+    pub fn packed_configuration(&self, revision: u64) -> Result<Vec<u8>> {
         let directory = self.file_set();
         files::write_file_set(&directory, &self.plan, &self.net, revision)?;
         let configuration = read_directory(&directory)?;
@@ -190,9 +190,9 @@
     /// # Errors
     /// When that is not so within 30 s.
     pub fn wait_ready(&self) -> Result<()> {
-        let running: Vec<_> = self.vms.iter().filter(|vm| vm.runs()).collect();
+        let running: Vec<_> = self.vms.iter().filter(|vm| vm.is_running()).collect();
         let ready = |vm: &&Vm| vm.is_ready(&self.admin, self.revision, running.len()).unwrap_or(false);
-        wait("deployment", || running.iter().all(ready))
+        wait_until("deployment", || running.iter().all(ready))
             .wrap_err_with(|| format!("see the logs in {}", self.directory.display()))
     }
 
@@ -202,8 +202,8 @@
     }
 
     /// Control address of the upstream stand-ins.
-    pub fn steering(&self) -> SocketAddr {
-        self.net.steering()
+    pub fn upstream_control_address(&self) -> SocketAddr {
+        self.net.upstream_control_address()
     }
 
     /// Address of an upstream.
@@ -228,7 +228,7 @@
 
     /// Sum of a counter over this program of all running VMs; those that do not respond are skipped.
     pub fn counter(&self, program: Program, name: &str) -> f64 {
-        let ports = self.vms.iter().filter(|vm| vm.runs()).map(|vm| vm.operator(program));
+        let ports = self.vms.iter().filter(|vm| vm.is_running()).map(|vm| vm.operator(program));
         ports.filter_map(|port| self.admin.counter(port, name).ok()).sum()
     }
 
@@ -252,7 +252,7 @@
 ///
 /// # Errors
 /// When it does not hold within 30 s.
-pub fn wait(what: &str, holds: impl Fn() -> bool) -> Result<()> {
+pub fn wait_until(what: &str, holds: impl Fn() -> bool) -> Result<()> {
     let deadline = Instant::now() + READY_TIMEOUT;
     while !holds() {
         if Instant::now() > deadline {
--- a/standins/src/deployment/net.rs
+++ b/standins/src/deployment/net.rs
@@ -9,7 +9,7 @@
 const LOCK_PORT: u16 = 7_999;
 const UPSTREAM_PORT: u16 = 8_080;
 const PLATFORM_PORT: u16 = 8_500;
-const STEERING_PORT: u16 = 8_600;
+const UPSTREAM_CONTROL_PORT: u16 = 8_600;
 /// Third octet of the addresses of the stand-ins.
 const STAND_IN_SUBNET: u8 = 250;
 /// Third octet of the address whose bound port reserves the range.
@@ -57,7 +57,7 @@
     }
 
     /// Control address of the upstream stand-ins.
-    pub fn steering(&self) -> SocketAddr {
-        (loopback(self.number, STAND_IN_SUBNET, 2), STEERING_PORT).into()
+    pub fn upstream_control_address(&self) -> SocketAddr {
+        (loopback(self.number, STAND_IN_SUBNET, 2), UPSTREAM_CONTROL_PORT).into()
     }
 }
--- a/standins/src/deployment/vm.rs
+++ b/standins/src/deployment/vm.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether its entry has been started and not stopped or killed.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.entry.is_some()
     }
 
--- a/standins/src/load/report.rs
+++ b/standins/src/load/report.rs
@@ -17,11 +17,11 @@
     /// Calls that ended, with any outcome.
     pub calls: u64,
     /// Calls with a complete response.
-    pub whole: u64,
+    pub complete: u64,
     /// Calls with a truncated response or a lost connection.
     pub cut: u64,
     /// Calls that got the response of another call.
-    pub wrong: u64,
+    pub mismatched: u64,
     /// Calls whose response says that the request has not run.
     pub not_run: u64,
     /// Calls with an unknown outcome.
@@ -39,9 +39,9 @@
         Self {
             times_us: histogram(),
             calls: 0,
-            whole: 0,
+            complete: 0,
             cut: 0,
-            wrong: 0,
+            mismatched: 0,
             not_run: 0,
             unknown: 0,
             error_responses: 0,
@@ -78,13 +78,13 @@
         report.calls += 1;
         match outcome {
             CallOutcome::Complete => {
-                report.whole += 1;
+                report.complete += 1;
                 latency
                     .iter()
                     .for_each(|latency| report.times_us.saturating_record(latency.as_micros() as u64));
             }
             CallOutcome::Truncated => report.cut += 1,
-            CallOutcome::Mismatched => report.wrong += 1,
+            CallOutcome::Mismatched => report.mismatched += 1,
             CallOutcome::NotRun(error) => {
                 report.not_run += 1;
                 report.count_reason(error);
--- a/standins/src/upstream.rs
+++ b/standins/src/upstream.rs
@@ -60,9 +60,11 @@
     /// Reports that it is draining, but still accepts requests.
     pub draining: bool,
     /// Truncates the bodies of responses.
-    pub cutting: bool,
+    #[serde(rename = "cutting")]
+    pub truncating: bool,
     /// Runs requests and then aborts the connection without a response.
-    pub dying: bool,
+    #[serde(rename = "dying")]
+    pub crashing: bool,
     /// Turns all requests away with status 503 and this `retry-after`, in seconds; 0 turns none away.
     pub pause_s: u32,
     /// Rate limit advertised in load reports, in requests per 1000 seconds; it is not enforced.
@@ -77,7 +79,7 @@
 
 /// Counts of what an upstream has done.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Done {
+pub struct Records {
     /// Requests that completed.
     pub ran: u64,
     /// Requests that ended before they completed: their caller went away, or their deadline passed in the queue.
@@ -98,7 +100,7 @@
     in_flight: AtomicU32,
     cancelled: AtomicU64,
     behaviour: Mutex<Behaviour>,
-    done: Mutex<Done>,
+    records: Mutex<Records>,
     service_times: Mutex<ServiceTimes>,
 }
 
@@ -129,7 +131,7 @@
             in_flight: AtomicU32::new(0),
             cancelled: AtomicU64::new(0),
             behaviour: Mutex::default(),
-            done: Mutex::default(),
+            records: Mutex::default(),
             service_times: Mutex::new(service_times),
         }
     }
@@ -181,7 +183,7 @@
     }
 
     fn turn_away(&self, behaviour: &Behaviour) -> StandInResponse {
-        lock(&self.done).turned_away += 1;
+        lock(&self.records).turned_away += 1;
         let mut response = self.with_load_report(new_response(503, "pause\n"), behaviour, 0);
         response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(behaviour.pause_s));
         response
@@ -215,21 +217,21 @@
     }
 
     fn begin(&self, job: &Job, behaviour: &Behaviour) {
-        let mut done = lock(&self.done);
-        done.begun_draining += u64::from(behaviour.draining);
+        let mut records = lock(&self.records);
+        records.begun_draining += u64::from(behaviour.draining);
         if let Some(key) = &job.key {
-            *done.keys.entry(key.clone()).or_default() += 1;
+            *records.keys.entry(key.clone()).or_default() += 1;
         }
     }
 
     fn finish(&self, in_flight_request: InFlightRequest<'_>, job: &Job, length: usize) -> StandInResponse {
-        lock(&self.done).ran += 1;
+        lock(&self.records).ran += 1;
         in_flight_request.complete();
         let behaviour = self.behaviour();
         let filler = "x".repeat(job.filler_bytes);
         let text = format!("{}\n{length}\n{filler}\nend {}\n", job.id, job.id);
         let mut response = new_response(200, text);
-        if behaviour.cutting {
+        if behaviour.truncating {
             response.body_mut().abort_after_body(TRUNCATED_BYTES);
         }
         self.with_load_report(response, &behaviour, 1)
@@ -242,9 +244,9 @@
         if request.uri().path() == "/load" {
             return Some(self.probe(&behaviour).await);
         }
-        let dying = behaviour.dying;
+        let crashing = behaviour.crashing;
         let response = self.run_request(request, behaviour).await;
-        (!dying).then_some(response)
+        (!crashing).then_some(response)
     }
 }
 
--- a/standins/src/upstream/fleet.rs
+++ b/standins/src/upstream/fleet.rs
@@ -20,12 +20,12 @@
 }
 
 impl Fleet {
-    /// Starts the upstreams and serves their control interface at `steering`. Upstream `n` draws its service times
-    /// from the seed `seed + n`.
+    /// Starts the upstreams and serves their control interface at `control_address`. Upstream `n` draws its
+    /// service times from the seed `seed + n`.
     ///
     /// # Errors
     /// When an address cannot be bound.
-    pub async fn start(specs: Vec<UpstreamSpec>, steering: SocketAddr, seed: u64) -> io::Result<()> {
+    pub async fn start(specs: Vec<UpstreamSpec>, control_address: SocketAddr, seed: u64) -> io::Result<()> {
         let mut upstreams = Vec::new();
         for (number, spec) in specs.into_iter().enumerate() {
             let (address, connect_delay) = (spec.address, Duration::from_secs_f64(spec.connect_ms / 1_000.0));
@@ -33,13 +33,13 @@
             serve(address, Arc::clone(&upstream), connect_delay).await?;
             upstreams.push(upstream);
         }
-        serve(steering, Arc::new(Self { upstreams }), Duration::ZERO).await
+        serve(control_address, Arc::new(Self { upstreams }), Duration::ZERO).await
     }
 }
 
 impl Handler for Fleet {
-    /// `POST /NAME` sets the [`Behaviour`](super::Behaviour) of an upstream from JSON; `GET /NAME` returns its counts,
-    /// [`Done`](super::Done), as JSON.
+    /// `POST /NAME` sets the [`Behaviour`](crate::upstream::Behaviour) of an upstream from JSON; `GET /NAME`
+    /// returns its counts, [`Records`](crate::upstream::Records), as JSON.
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Option<StandInResponse> {
         Some(self.handle_control(request).await)
     }
@@ -52,9 +52,9 @@
             return new_response(404, "");
         };
         if request.method() == Method::GET {
-            let mut done = lock(&upstream.done).clone();
-            done.cancelled = upstream.cancelled.load(Ordering::Relaxed);
-            return new_response(200, serde_json::to_string(&done).unwrap_or_default());
+            let mut records = lock(&upstream.records).clone();
+            records.cancelled = upstream.cancelled.load(Ordering::Relaxed);
+            return new_response(200, serde_json::to_string(&records).unwrap_or_default());
         }
         let Ok(body) = request.into_body().collect().await else {
             return new_response(400, "");
--- a/standins/tests/common/mod.rs
+++ b/standins/tests/common/mod.rs
@@ -118,6 +118,7 @@
 pub fn run_count(deployment: &Deployment, key: &str) -> u32 {
     let service = &deployment.plan.services[0];
     let names = (0..service.instances).map(|number| service.upstream_name(number));
-    let records = names.map(|name| deployment.admin.done(deployment.steering(), &name).unwrap());
+    let records =
+        names.map(|name| deployment.admin.records(deployment.upstream_control_address(), &name).unwrap());
     records.map(|records| records.keys.get(key).copied().unwrap_or(0)).sum()
 }
--- a/standins/tests/data_path.rs
+++ b/standins/tests/data_path.rs
@@ -4,8 +4,8 @@
     common::{Response, call, deploy, key_prefix, read_response, request, run_count},
     googletest::prelude::*,
     pointvane_standins::{
-        deployment::{Deployment, Program, wait},
-        upstream::{Behaviour, Done},
+        deployment::{Deployment, Program, wait_until},
+        upstream::{Behaviour, Records},
     },
     std::{
         fs,
@@ -26,14 +26,14 @@
     for number in 0..service.instances {
         deployment
             .admin
-            .set_behaviour(deployment.steering(), &service.upstream_name(number), behaviour)
+            .set_behaviour(deployment.upstream_control_address(), &service.upstream_name(number), behaviour)
             .unwrap();
     }
 }
 
-fn done(deployment: &Deployment) -> Done {
+fn records(deployment: &Deployment) -> Records {
     let name = deployment.plan.services[0].upstream_name(0);
-    deployment.admin.done(deployment.steering(), &name).unwrap()
+    deployment.admin.records(deployment.upstream_control_address(), &name).unwrap()
 }
 
 /// Number of upstreams from which the first entry has evidence that they are not leaving.
@@ -81,16 +81,16 @@
     let deployment = deploy(1, 1, "");
     let mut stream = TcpStream::connect(deployment.vms[0].entry()).unwrap();
     stream.write_all(request("GET", "/dispatch/call?work_ms=20000", &[], "").as_bytes()).unwrap();
-    wait("the work", || deployment.counter(Program::Entry, "pointvane_attempts") > 0.0).unwrap();
+    wait_until("the work", || deployment.counter(Program::Entry, "pointvane_attempts") > 0.0).unwrap();
     drop(stream);
-    wait("the cancellation", || done(&deployment).cancelled == 1).unwrap();
-    expect_that!(done(&deployment).ran, eq(0));
+    wait_until("the cancellation", || records(&deployment).cancelled == 1).unwrap();
+    expect_that!(records(&deployment).ran, eq(0));
 }
 
 #[gtest]
 fn a_truncated_response_never_looks_complete() {
     let deployment = deploy(1, 1, "");
-    set_behaviour(&deployment, &Behaviour { cutting: true, ..Behaviour::default() });
+    set_behaviour(&deployment, &Behaviour { truncating: true, ..Behaviour::default() });
     let response = get(&deployment, "/dispatch/call?work_ms=1&size=100000");
     expect_that!(response.is_complete, eq(false));
     // With an idempotency key the whole response is read first, so the caller gets an error.
@@ -103,7 +103,7 @@
 #[gtest]
 fn an_unsafe_request_is_never_sent_twice() {
     let deployment = deploy(1, 3, "");
-    set_behaviour(&deployment, &Behaviour { dying: true, ..Behaviour::default() });
+    set_behaviour(&deployment, &Behaviour { crashing: true, ..Behaviour::default() });
     let key = key_prefix(&deployment, 0) + "once";
     let text = request("POST", "/dispatch/call?work_ms=1", &[("idempotency-key", &key)], "booking");
     for _ in 0..3 {
@@ -117,16 +117,16 @@
 fn a_read_whose_upstream_fails_is_retried_at_another() {
     let deployment = deploy(1, 3, "");
     let names = &deployment.plan.services[0];
-    let (steering, name) = (deployment.steering(), names.upstream_name(0));
+    let (control_address, name) = (deployment.upstream_control_address(), names.upstream_name(0));
     // Retries go only to upstreams that have responded before; until all have, a read that fails at the first
     // upstream may not be retried.
-    wait("a response from each upstream", || {
+    wait_until("a response from each upstream", || {
         get(&deployment, "/dispatch/call?work_ms=1");
         upstreams_with_evidence(&deployment) == 3
     })
     .unwrap();
-    let dying = Behaviour { dying: true, ..Behaviour::default() };
-    deployment.admin.set_behaviour(steering, &name, &dying).unwrap();
+    let crashing = Behaviour { crashing: true, ..Behaviour::default() };
+    deployment.admin.set_behaviour(control_address, &name, &crashing).unwrap();
     // Upstreams are chosen at random: all requests must succeed, and at least one must have been retried.
     let retries = || deployment.counter(Program::Entry, "pointvane_retries");
     for number in 0..200 {
@@ -212,8 +212,8 @@
     }
     let operator = deployment.vms[0].operator(Program::Entry);
     let event_reported = |kind: &str| deployment.admin.text(operator, "/events").unwrap().contains(kind);
-    wait("the overload", || event_reported("overload-began")).unwrap();
-    wait("its end", || event_reported("overload-ended")).unwrap();
+    wait_until("the overload", || event_reported("overload-began")).unwrap();
+    wait_until("its end", || event_reported("overload-ended")).unwrap();
 }
 
 #[gtest]
@@ -241,12 +241,12 @@
             call(entry, &request("GET", "/dispatch/a", &[], ""))
         })
         .collect();
-    let done = |number| {
+    let records = |number| {
         let name = deployment.plan.services[0].upstream_name(number);
-        deployment.admin.done(deployment.steering(), &name).unwrap()
+        deployment.admin.records(deployment.upstream_control_address(), &name).unwrap()
     };
     for number in 0..3 {
-        expect_that!(done(number).turned_away, all!(ge(1), le(2)), "upstream {number}");
+        expect_that!(records(number).turned_away, all!(ge(1), le(2)), "upstream {number}");
     }
     let last = responses.last().unwrap();
     expect_that!(last.status, eq(503));
@@ -295,7 +295,7 @@
     let was_paused = (0..10).any(|_| {
         request_once(entry);
         std::thread::sleep(std::time::Duration::from_millis(150));
-        done(&deployment).turned_away > 0
+        records(&deployment).turned_away > 0
     });
     set_behaviour(&deployment, &Behaviour::default());
     let is_refused = |_| {
@@ -317,10 +317,10 @@
     // The first request waits for the probe of the upstream, which is repeated if a busy machine delays the
     // response.
     refused();
-    let rejected_before = done(&deployment).turned_away;
+    let rejected_before = records(&deployment).turned_away;
     expect_that!(rejected_before, ge(1));
     (0..10).for_each(|_| refused());
-    let Done { ran, turned_away, .. } = done(&deployment);
+    let Records { ran, turned_away, .. } = records(&deployment);
     expect_that!((ran, turned_away), eq((0, rejected_before)), "it gets neither requests nor another probe");
 }
 
@@ -330,8 +330,8 @@
     let deployment = deploy(3, 3, "");
     let limited = deployment.plan.services[0].upstream_name(0);
     let named = Behaviour { limit_per_1000_s: Some(2_500), ..Behaviour::default() };
-    deployment.admin.set_behaviour(deployment.steering(), &limited, &named).unwrap();
-    let ran = || deployment.admin.done(deployment.steering(), &limited).unwrap().ran;
+    deployment.admin.set_behaviour(deployment.upstream_control_address(), &limited, &named).unwrap();
+    let ran = || deployment.admin.records(deployment.upstream_control_address(), &limited).unwrap().ran;
     let call_until = |entry: SocketAddr, until: Instant| {
         let mut statuses = Vec::new();
         while Instant::now() < until {
--- a/standins/tests/entry_hedges.rs
+++ b/standins/tests/entry_hedges.rs
@@ -16,7 +16,9 @@
 fn cancelled_count(deployment: &Deployment) -> u64 {
     let service = &deployment.plan.services[0];
     let names = (0..service.instances).map(|number| service.upstream_name(number));
-    names.map(|name| deployment.admin.done(deployment.steering(), &name).unwrap().cancelled).sum()
+    names
+        .map(|name| deployment.admin.records(deployment.upstream_control_address(), &name).unwrap().cancelled)
+        .sum()
 }
 
 /// Guards against a hedge being considered only once: if no upstream has slack at that moment, the request
--- a/standins/tests/operator_ports.rs
+++ b/standins/tests/operator_ports.rs
@@ -6,7 +6,7 @@
 use {
     common::{deploy, key_prefix, request},
     googletest::prelude::*,
-    pointvane_standins::deployment::{Program, wait},
+    pointvane_standins::deployment::{Program, wait_until},
     serde_json::Value,
     std::{collections::BTreeSet, net::SocketAddr},
     users_platform::{NodeProcess, Store, Upstream, UpstreamBehaviour, call, eventually},
@@ -120,7 +120,7 @@
         let text = get(port(Program::Entry), "/metrics") + &get(port(Program::Control), "/metrics");
         ["load_sent_bytes", "gossip_sent", "platform_reads"].iter().all(|name| text.contains(name))
     };
-    wait("metrics", all_present).unwrap();
+    wait_until("metrics", all_present).unwrap();
     let programs = [("entry", Program::Entry), ("control", Program::Control), ("locate", Program::Locate)];
     let all: String = programs.iter().map(|(name, program)| exposed(name, port(*program))).collect();
     compare(&all, PROGRAMS_GOLDEN);
--- a/standins/tests/promises.rs
+++ b/standins/tests/promises.rs
@@ -4,7 +4,7 @@
     common::{call, deploy, key_prefix, plan, request, run_count},
     googletest::prelude::*,
     pointvane_standins::{
-        deployment::{Deployment, Program, wait},
+        deployment::{Deployment, Program, wait_until},
         load::{self, CallKind, LoadPlan, LoadReport, Rate},
         upstream::Behaviour,
     },
@@ -47,8 +47,11 @@
     let service = &deployment.plan.services[0];
     let mut times = std::collections::HashMap::<String, u32>::new();
     for number in 0..service.instances {
-        let done = deployment.admin.done(deployment.steering(), &service.upstream_name(number)).unwrap();
-        for (key, count) in done.keys {
+        let records = deployment
+            .admin
+            .records(deployment.upstream_control_address(), &service.upstream_name(number))
+            .unwrap();
+        for (key, count) in records.keys {
             *times.entry(key).or_default() += count;
         }
     }
@@ -75,8 +78,8 @@
 
 fn wait_revision(deployment: &Deployment, expected: u64) -> Duration {
     let began = Instant::now();
-    let running = |number: &usize| deployment.vms[*number].runs();
-    wait("the revision", || {
+    let running = |number: &usize| deployment.vms[*number].is_running();
+    wait_until("the revision", || {
         (0..deployment.vms.len()).filter(running).all(|vm| revision(deployment, vm) == expected)
     })
     .unwrap();
@@ -91,7 +94,7 @@
     let status = deployment.vms[1].stop();
     expect_that!(status.and_then(|status| status.code()), some(eq(0)));
     let report = calls.join().unwrap();
-    expect_that!(report.sum(|kind| kind.whole), eq(report.sum(|kind| kind.calls)));
+    expect_that!(report.sum(|kind| kind.complete), eq(report.sum(|kind| kind.calls)));
     expect_that!(report.lost, eq(0));
     expect_that!(duplicate_keys(&deployment), eq(0));
 }
@@ -101,7 +104,7 @@
     let mut deployment = deploy(2, 1, "");
     let entry = deployment.vms[1].entry();
     let session = thread::spawn(move || call(entry, &request("GET", "/dispatch/call?work_ms=6000", &[], "")));
-    wait("the session", || deployment.counter(Program::Entry, "pointvane_attempts") > 0.0).unwrap();
+    wait_until("the session", || deployment.counter(Program::Entry, "pointvane_attempts") > 0.0).unwrap();
     deployment.vms[1].stop();
     let response = session.join().unwrap();
     expect_that!(response.status, eq(200));
@@ -115,13 +118,14 @@
     thread::sleep(Duration::from_secs(1));
     let name = deployment.plan.services[0].upstream_name(0);
     let draining = Behaviour { draining: true, ..Behaviour::default() };
-    deployment.admin.set_behaviour(deployment.steering(), &name, &draining).unwrap();
+    deployment.admin.set_behaviour(deployment.upstream_control_address(), &name, &draining).unwrap();
     thread::sleep(PROPAGATION_TIME);
-    let begun_at_bound = deployment.admin.done(deployment.steering(), &name).unwrap().begun_draining;
+    let begun_at_bound =
+        deployment.admin.records(deployment.upstream_control_address(), &name).unwrap().begun_draining;
     let report = calls.join().unwrap();
-    let done = deployment.admin.done(deployment.steering(), &name).unwrap();
-    expect_that!(done.begun_draining, eq(begun_at_bound));
-    expect_that!(report.sum(|kind| kind.whole), eq(report.sum(|kind| kind.calls)));
+    let records = deployment.admin.records(deployment.upstream_control_address(), &name).unwrap();
+    expect_that!(records.begun_draining, eq(begun_at_bound));
+    expect_that!(report.sum(|kind| kind.complete), eq(report.sum(|kind| kind.calls)));
 }
 
 #[gtest]
@@ -135,13 +139,13 @@
     deployment.admin.set_platform(deployment.platform(), "down=true").unwrap();
     let name = deployment.plan.services[0].upstream_name(0);
     let draining = Behaviour { draining: true, ..Behaviour::default() };
-    deployment.admin.set_behaviour(deployment.steering(), &name, &draining).unwrap();
+    deployment.admin.set_behaviour(deployment.upstream_control_address(), &name, &draining).unwrap();
     thread::sleep(PROPAGATION_TIME);
     for _ in 0..20 {
         expect_that!(call(entry, &text).status, eq(200));
     }
-    let done = deployment.admin.done(deployment.steering(), &name).unwrap();
-    expect_that!(done.begun_draining, eq(0));
+    let records = deployment.admin.records(deployment.upstream_control_address(), &name).unwrap();
+    expect_that!(records.begun_draining, eq(0));
 }
 
 #[gtest]
@@ -154,7 +158,7 @@
             deployment.admin.json(vm.operator(Program::Entry), "/status").unwrap();
         status["services"][0]["upstreams"][0]["leaving"] == true
     };
-    wait("the list", || deployment.vms.iter().all(leaving)).unwrap();
+    wait_until("the list", || deployment.vms.iter().all(leaving)).unwrap();
 }
 
 #[gtest]
@@ -191,7 +195,7 @@
             })
         })
         .collect();
-    wait("the slots", || deployment.counter(Program::Entry, "pointvane_attempts") >= 6.0).unwrap();
+    wait_until("the slots", || deployment.counter(Program::Entry, "pointvane_attempts") >= 6.0).unwrap();
     let key = key_prefix(&deployment, 0) + "frozen";
     let headers = [("idempotency-key", key.as_str()), ("pointvane-deadline-ms", "1000")];
     let text = request("POST", "/dispatch/call?work_ms=1", &headers, "booking");
@@ -227,9 +231,9 @@
     thread::sleep(Duration::from_secs(1));
     deployment.start_vm(1).unwrap();
     let report = calls.join().unwrap();
-    expect_that!(report.sum(|kind| kind.wrong), eq(0));
+    expect_that!(report.sum(|kind| kind.mismatched), eq(0));
     expect_that!(report.lost, eq(0));
-    expect_that!(report.sum(|kind| kind.whole), gt(report.sum(|kind| kind.calls) / 2));
+    expect_that!(report.sum(|kind| kind.complete), gt(report.sum(|kind| kind.calls) / 2));
     expect_that!(duplicate_keys(&deployment), eq(0));
 }
 
@@ -244,7 +248,7 @@
     deployment.start_program(0, Program::Control).unwrap();
     deployment.start_program(1, Program::Locate).unwrap();
     let report = calls.join().unwrap();
-    expect_that!(report.sum(|kind| kind.whole), eq(report.sum(|kind| kind.calls)));
+    expect_that!(report.sum(|kind| kind.complete), eq(report.sum(|kind| kind.calls)));
     deployment.wait_ready().unwrap();
 }
 
@@ -267,7 +271,7 @@
 #[gtest]
 fn an_older_revision_is_never_accepted_whatever_the_platform_returns() {
     let mut deployment = deploy(3, 1, "");
-    let old = deployment.packed(1).unwrap();
+    let old = deployment.packed_configuration(1).unwrap();
     deployment.publish().unwrap();
     deployment.publish().unwrap();
     let newest = deployment.revision();
@@ -281,7 +285,7 @@
     // A VM that starts now would read the old value from the platform, but asks its peers first.
     deployment.vms[2].kill();
     deployment.start_vm(2).unwrap();
-    wait("the new VM", || {
+    wait_until("the new VM", || {
         deployment
             .admin
             .json::<serde_json::Value>(deployment.vms[2].operator(Program::Entry), "/status")
@@ -316,13 +320,13 @@
 #[gtest]
 fn a_truncated_configuration_is_refused_entirely() {
     let deployment = deploy(1, 1, "");
-    let mut truncated = deployment.packed(9).unwrap();
+    let mut truncated = deployment.packed_configuration(9).unwrap();
     let middle = truncated.len() / 2;
     truncated.truncate(middle);
     deployment.admin.publish(deployment.platform(), "pointvane/configuration", &truncated).unwrap();
     let control = deployment.vms[0].operator(Program::Control);
     let refused = || deployment.admin.text(control, "/events").unwrap().contains("configuration-refused");
-    wait("the refusal", refused).unwrap();
+    wait_until("the refusal", refused).unwrap();
     expect_that!(revision(&deployment, 0), eq(1));
 }
 
