--- a/crates/pointvane-dispatch/src/admission.rs
+++ b/crates/pointvane-dispatch/src/admission.rs
@@ -102,8 +102,8 @@
 }
 
 impl AdmissionPolicy {
-    /// Whether a request is sent to the best upstream that was found; `has_capacity` says whether that has a free
-    /// slot.
+    /// Whether a request is sent to the best upstream that was found; `has_capacity` says whether that has a
+    /// free slot.
     ///
     /// Without a free slot the request is sent only if it is expected to meet its target from the upstream's
     /// queue, with a larger margin the more full upstreams slow down. A queued request is bound to one
--- a/crates/pointvane-dispatch/src/replica/fan_out.rs
+++ b/crates/pointvane-dispatch/src/replica/fan_out.rs
@@ -19,8 +19,8 @@
 /// Forwarding in fleets of every size gave worse dispatch results than sending directly in small ones.
 pub const DIRECT_SEND_MAX: usize = 150;
 
-/// The fan-out in a fleet with the given number of other nodes; [`DIRECT_SEND_MAX`] stands for sending to all of
-/// them directly.
+/// The fan-out in a fleet with the given number of other nodes; [`DIRECT_SEND_MAX`] stands for sending to all
+/// of them directly.
 pub fn fan_out(others: usize) -> usize {
     if others <= DIRECT_SEND_MAX { DIRECT_SEND_MAX } else { FAN_OUT }
 }
--- a/crates/pointvane-dispatch/src/replica/reader.rs
+++ b/crates/pointvane-dispatch/src/replica/reader.rs
@@ -4,11 +4,11 @@
 //! A few nodes read on behalf of the fleet. Watchers keep a long poll open and relay each response to all
 //! nodes. A relay also renews a lease: while the platform response behind it is younger than `lease_ms`, the
 //! receiver does not read for itself. Without a watcher the standbys read; without these, the followers do,
-//! one after another (`poll_schedule.rs`). The first of them to get a response acts as a watcher until it receives
-//! relays from another reader. Nodes fetch what does not fit in a relay, such as a configuration, from each
-//! other in an order that spreads the load (`query_order.rs`), and from the platform if that fails. A node
-//! reads a full snapshot when the platform no longer holds the changes it lacks, or when a response cannot be
-//! trusted. Startup is described in `startup.rs`.
+//! one after another (`poll_schedule.rs`). The first of them to get a response acts as a watcher until it
+//! receives relays from another reader. Nodes fetch what does not fit in a relay, such as a configuration,
+//! from each other in an order that spreads the load (`query_order.rs`), and from the platform if that fails.
+//! A node reads a full snapshot when the platform no longer holds the changes it lacks, or when a response
+//! cannot be trusted. Startup is described in `startup.rs`.
 //!
 //! The state machine is given the time and the responses and returns the next call; it does no I/O.
 //! `pointvane-node` carries the calls out. Calls to the platform and queries of peers run concurrently:
--- a/crates/pointvane-dispatch/src/replica/reader/answers.rs
+++ b/crates/pointvane-dispatch/src/replica/reader/answers.rs
@@ -102,9 +102,9 @@
     }
 
     /// Moves the state forward to a revision by the given changes.
-    pub(super) fn advance_to(&mut self, revision: u64, changes: &[Change], hold: ChangeCoverage) {
+    pub(super) fn advance_to(&mut self, revision: u64, changes: &[Change], coverage: ChangeCoverage) {
         if revision > self.mark.revision {
-            self.relay_log.add(revision, changes, hold);
+            self.relay_log.add(revision, changes, coverage);
         }
         self.set_revision(revision.max(self.mark.revision));
     }
--- a/crates/pointvane-dispatch/src/search.rs
+++ b/crates/pointvane-dispatch/src/search.rs
@@ -81,8 +81,8 @@
 /// The next step of a search, for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SearchStep {
-    /// Probe these upstreams concurrently. Report responses by [`Search::answered`] until one is chosen, all
-    /// have responded or the timeout has passed, then call [`Search::next`].
+    /// Probe these upstreams concurrently. Report responses by [`Search::record_probe_response`] until one is
+    /// chosen, all have responded or the timeout has passed, then call [`Search::next`].
     Probe {
         /// The upstreams to probe.
         upstreams: Vec<UpstreamKey>,
--- a/crates/pointvane-dispatch/src/subset.rs
+++ b/crates/pointvane-dispatch/src/subset.rs
@@ -2,10 +2,10 @@
 //!
 //! A node that spread its requests over hundreds of upstreams would use each so rarely that its connection
 //! would have been closed and its load report would be old. Each node therefore uses a random subset that
-//! stays the same for one incarnation of the process: upstreams of its own data centre, then some of others. For
-//! each request a few random upstreams are added, so that better ones can be found. Nodes choose different
-//! subsets, so that each upstream is in the subsets of some nodes. Services no larger than the subset are not
-//! affected. Tests: `most_requests_to_a_large_service_go_to_few_upstreams_and_some_to_each`,
+//! stays the same for one incarnation of the process: upstreams of its own data centre, then some of others.
+//! For each request a few random upstreams are added, so that better ones can be found. Nodes choose
+//! different subsets, so that each upstream is in the subsets of some nodes. Services no larger than the
+//! subset are not affected. Tests: `most_requests_to_a_large_service_go_to_few_upstreams_and_some_to_each`,
 //! `all_upstreams_of_a_large_service_are_preferred_by_some_nodes_and_none_by_too_many`.
 
 use {
--- a/crates/pointvane-node/src/pipeline.rs
+++ b/crates/pointvane-node/src/pipeline.rs
@@ -3,8 +3,8 @@
 //!
 //! `read_ahead.rs` reports each head that it has read, and passes one request at a time to the HTTP server,
 //! which parses it again and keeps responses in order. `caller_connection.rs` serves that request, with the
-//! response of its early forward if there is one. [`pointvane_dispatch::may_forward_early`] decides which requests
-//! are forwarded early.
+//! response of its early forward if there is one. [`pointvane_dispatch::may_forward_early`] decides which
+//! requests are forwarded early.
 
 use {
     crate::{
--- a/crates/pointvane-node/src/request.rs
+++ b/crates/pointvane-node/src/request.rs
@@ -22,8 +22,8 @@
 
 /// Hop-by-hop headers.
 ///
-/// `pointvane-entry/src/response.rs` has a list of its own: the programs there drop proxy headers that the node
-/// forwards.
+/// `pointvane-entry/src/response.rs` has a list of its own: the programs there drop proxy headers that the
+/// node forwards.
 static HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
