--- a/crates/pointvane-config/src/lib.rs
+++ b/crates/pointvane-config/src/lib.rs
@@ -27,8 +27,8 @@
     fault::{Fault, Faults},
     fleet_file::{check_directory, read_directory},
     node_options::{
-        ChoiceOptions, ChoicePolicy, FleetOptions, LineOptions, NODE_OPTION_KEYS, NodeAdmissionOptions,
-        NodeOptions, RepeatOptions, read_node_options,
+        ChoiceOptions, ChoicePolicy, FleetOptions, HedgingOptions, LogOptions, NODE_OPTION_KEYS,
+        NodeAdmissionOptions, NodeOptions, read_node_options,
     },
     pack::{PACKED_LIMIT_BYTES, PackError, Packed, pack, unpack},
     service_options::{AdmissionOptions, EjectionOptions, HedgeOptions, LoadOptions, RetryOptions},
--- a/crates/pointvane-config/src/node_options.rs
+++ b/crates/pointvane-config/src/node_options.rs
@@ -33,9 +33,9 @@
     /// Admission control.
     pub admission: NodeAdmissionOptions,
     /// Hedged requests.
-    pub repeats: RepeatOptions,
+    pub repeats: HedgingOptions,
     /// Sampling and rate limits of log lines.
-    pub lines: LineOptions,
+    pub lines: LogOptions,
     /// Address for traffic from other nodes.
     pub fleet: FleetOptions,
     /// Limits on callers' connections.
@@ -48,9 +48,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChoicePolicy {
     /// Queries the best candidates for their load right before sending.
-    Ask,
+    ProbeLoad,
     /// The upstream with the fewest requests in flight from this node.
-    OwnLeast,
+    LeastOwnRequests,
     /// A random upstream.
     Random,
 }
@@ -58,7 +58,7 @@
 impl ChoicePolicy {
     /// Policies by their names in options files.
     pub const NAMES: [(&'static str, Self); 3] =
-        [("ask", Self::Ask), ("own-least", Self::OwnLeast), ("random", Self::Random)];
+        [("ask", Self::ProbeLoad), ("own-least", Self::LeastOwnRequests), ("random", Self::Random)];
 }
 
 /// Load-balancing options.
@@ -74,7 +74,7 @@
 
 impl Default for ChoiceOptions {
     fn default() -> Self {
-        Self { policy: ChoicePolicy::Ask, ask_first: 2, ask_more: 4 }
+        Self { policy: ChoicePolicy::ProbeLoad, ask_first: 2, ask_more: 4 }
     }
 }
 
@@ -95,12 +95,12 @@
 
 /// Hedging: a second attempt of slow requests that are safe to repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RepeatOptions {
+pub struct HedgingOptions {
     /// Whether requests are hedged.
     pub hedge: bool,
 }
 
-impl Default for RepeatOptions {
+impl Default for HedgingOptions {
     fn default() -> Self {
         Self { hedge: true }
     }
@@ -108,7 +108,7 @@
 
 /// Sampling and rate limits of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LineOptions {
+pub struct LogOptions {
     /// One in this many log lines about successful events is written.
     pub well_every: u64,
     /// Maximum rate of log lines about failures, per second.
@@ -117,7 +117,7 @@
     pub beliefs_per_s: u64,
 }
 
-impl Default for LineOptions {
+impl Default for LogOptions {
     fn default() -> Self {
         Self { well_every: 64, wrong_per_s: 40, beliefs_per_s: 60 }
     }
@@ -186,8 +186,8 @@
     NodeOptions {
         choice: read_choice(&root.section("choice")),
         admission: read_admission(&root.section("admission")),
-        repeats: read_repeats(&root.section("repeats")),
-        lines: read_lines(&root.section("lines")),
+        repeats: read_hedging(&root.section("repeats")),
+        lines: read_log(&root.section("lines")),
         fleet: read_fleet(&root.section("fleet")),
         callers: read_callers(&root.section("callers")),
         quarantine: read_quarantine(&root.section("quarantine")),
@@ -213,15 +213,15 @@
     }
 }
 
-fn read_repeats(section: &Section<'_, '_>) -> RepeatOptions {
+fn read_hedging(section: &Section<'_, '_>) -> HedgingOptions {
     section.reject_unknown_keys(&["hedge"]);
-    RepeatOptions { hedge: section.boolean("hedge", RepeatOptions::default().hedge) }
+    HedgingOptions { hedge: section.boolean("hedge", HedgingOptions::default().hedge) }
 }
 
-fn read_lines(section: &Section<'_, '_>) -> LineOptions {
+fn read_log(section: &Section<'_, '_>) -> LogOptions {
     section.reject_unknown_keys(&["beliefs_per_s", "well_every", "wrong_per_s"]);
-    let defaults = LineOptions::default();
-    LineOptions {
+    let defaults = LogOptions::default();
+    LogOptions {
         well_every: section.integer("well_every", 1..=1_000_000, Some(defaults.well_every)),
         wrong_per_s: section.integer("wrong_per_s", 0..=100_000, Some(defaults.wrong_per_s)),
         beliefs_per_s: section.integer("beliefs_per_s", 0..=100_000, Some(defaults.beliefs_per_s)),
--- a/crates/pointvane-config/src/pack.rs
+++ b/crates/pointvane-config/src/pack.rs
@@ -33,7 +33,7 @@
     /// The value is not JSON of the expected format.
     Malformed,
     /// The digest does not match the configuration.
-    Damaged,
+    DigestMismatch,
 }
 
 impl fmt::Display for PackError {
@@ -41,7 +41,7 @@
         match self {
             Self::TooLarge { bytes } => write!(f, "{bytes} bytes; the limit is {PACKED_LIMIT_BYTES}"),
             Self::Malformed => f.write_str("not a packed configuration"),
-            Self::Damaged => f.write_str("the digest does not match"),
+            Self::DigestMismatch => f.write_str("the digest does not match"),
         }
     }
 }
@@ -72,7 +72,7 @@
     }
     let packed: Packed = serde_json::from_slice(value).map_err(|_| PackError::Malformed)?;
     if digest(&packed.configuration)? != packed.digest {
-        return Err(PackError::Damaged);
+        return Err(PackError::DigestMismatch);
     }
     Ok(packed)
 }
--- a/crates/pointvane-config/tests/docs.rs
+++ b/crates/pointvane-config/tests/docs.rs
@@ -66,6 +66,6 @@
         ]
     );
     fs::write(&file, "[choice]\npolicy = \"own-least\"\n").unwrap();
-    expect_that!(read_node_options(&file).unwrap().choice.policy, eq(ChoicePolicy::OwnLeast));
+    expect_that!(read_node_options(&file).unwrap().choice.policy, eq(ChoicePolicy::LeastOwnRequests));
     fs::remove_file(&file).unwrap();
 }
--- a/crates/pointvane-config/tests/files.rs
+++ b/crates/pointvane-config/tests/files.rs
@@ -135,7 +135,7 @@
         expect_that!(unpack(&value[..length]), err(anything()));
     }
     let altered = String::from_utf8(value).unwrap().replace("10.0.0.7", "10.0.0.9");
-    expect_that!(unpack(altered.as_bytes()), err(eq(&PackError::Damaged)));
+    expect_that!(unpack(altered.as_bytes()), err(eq(&PackError::DigestMismatch)));
 }
 
 #[gtest]
--- a/crates/pointvane-control/src/reader.rs
+++ b/crates/pointvane-control/src/reader.rs
@@ -74,7 +74,7 @@
     fn set_platform_lost(&mut self, lost: bool) {
         // Both values come from the same platform, so only the reader of the configuration logs the event.
         if self.platform_lost != lost && self.kind == ValueKind::Configuration {
-            self.state.events.note(if lost { EventKind::PlatformLost } else { EventKind::PlatformBack });
+            self.state.events.record(if lost { EventKind::PlatformLost } else { EventKind::PlatformBack });
         }
         self.platform_lost = lost;
     }
@@ -83,7 +83,7 @@
         if reading.index < self.index && self.kind == ValueKind::Configuration {
             // The platform was restored from an older backup. The current configuration stays in force until
             // one with a larger revision is published.
-            self.state.events.note(EventKind::PlatformWentBack { from: self.index, to: reading.index });
+            self.state.events.record(EventKind::PlatformWentBack { from: self.index, to: reading.index });
         }
         let unchanged = reading.index == self.index;
         self.index = reading.index;
--- a/crates/pointvane-control/src/run.rs
+++ b/crates/pointvane-control/src/run.rs
@@ -54,14 +54,14 @@
 
     start_readers(&state, platform_address, fetch_requests);
     start_servers(&state, socket, listener, Arc::clone(&stop));
-    events.note(EventKind::Started);
+    events.record(EventKind::Started);
 
     while !stop.load(Ordering::Relaxed) {
         thread::sleep(POLL_INTERVAL);
     }
-    events.note(EventKind::Stopping { in_flight: 0 });
+    events.record(EventKind::Stopping { in_flight: 0 });
     state.leave();
-    events.note(EventKind::Stopped { cut: 0 });
+    events.record(EventKind::Stopped { cut: 0 });
     thread::sleep(POLL_INTERVAL);
     Ok(())
 }
--- a/crates/pointvane-control/src/state.rs
+++ b/crates/pointvane-control/src/state.rs
@@ -11,7 +11,7 @@
         Action, EntryReport, EntryRow, GossipMessage, MemberRow, Membership, MembershipOptions, Offer,
         OfferVerdict, Spread, SpreadAction, Stamp, Stamps, Stored, choose_readers, codec,
     },
-    pointvane_telemetry::{EventKind, EventLog, MonotonicClock, wall_ms},
+    pointvane_telemetry::{EventKind, EventLog, MonotonicClock, unix_time_ms},
     std::{
         net::{SocketAddr, UdpSocket},
         sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError, mpsc},
@@ -161,7 +161,7 @@
     /// Logs that a value was refused, with the reason.
     pub fn log_refusal(&self, stamp: Stamp, reason: &str) {
         let Stamp { revision, index } = stamp;
-        self.events.note(EventKind::ConfigurationRefused { revision, index, reason: reason.into() });
+        self.events.record(EventKind::ConfigurationRefused { revision, index, reason: reason.into() });
     }
 
     /// Releases values of the platform that were held back until peers answered; called once enough have.
@@ -183,7 +183,7 @@
         drop(inner);
         let Stamp { revision, index } = stamps.configuration;
         if stamps.configuration != previous {
-            self.events.note(EventKind::ConfigurationAccepted { revision, index });
+            self.events.record(EventKind::ConfigurationAccepted { revision, index });
         }
         self.run_actions(actions);
         self.changed.notify_all();
@@ -232,8 +232,8 @@
         let was_reader = std::mem::replace(&mut inner.reads_platform, is_reader);
         drop(inner);
         match (was_reader, is_reader) {
-            (false, true) => self.events.note(EventKind::ReaderBegan),
-            (true, false) => self.events.note(EventKind::ReaderEnded),
+            (false, true) => self.events.record(EventKind::ReaderBegan),
+            (true, false) => self.events.record(EventKind::ReaderEnded),
             _ => {}
         }
     }
@@ -243,7 +243,7 @@
             match action {
                 Action::Send { to, message } => self.send(to, &message),
                 Action::Changed(change) => {
-                    self.events.note(EventKind::MemberChanged { member: change.name, state: change.state });
+                    self.events.record(EventKind::MemberChanged { member: change.name, state: change.state });
                     self.changed.notify_all();
                 }
             }
@@ -289,7 +289,7 @@
             name,
             data_centre: vm.data_centre.clone(),
             address: vm.address,
-            incarnation: Incarnation(wall_ms()),
+            incarnation: Incarnation(unix_time_ms()),
         },
         control_port: settings.control.port,
         entry_port: settings.entry.port,
--- a/crates/pointvane-entry/src/connection_pool.rs
+++ b/crates/pointvane-entry/src/connection_pool.rs
@@ -12,7 +12,7 @@
         client::conn::http1::{self, SendRequest},
     },
     hyper_util::rt::TokioIo,
-    pointvane_telemetry::Moment,
+    pointvane_telemetry::BootInstant,
     std::{
         collections::HashMap,
         future::poll_fn,
@@ -121,7 +121,7 @@
 }
 
 async fn open(address: SocketAddr) -> Result<OpenConnection, Unreachable> {
-    let started_at = Moment::now();
+    let started_at = BootInstant::now();
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = stream.map_err(|_| Unreachable)?.map_err(|_| Unreachable)?;
     let round_trip = started_at.elapsed();
--- a/crates/pointvane-entry/src/entry.rs
+++ b/crates/pointvane-entry/src/entry.rs
@@ -14,7 +14,7 @@
     pointvane_config::{Configuration, Settings},
     pointvane_core::{Incarnation, Name},
     pointvane_mesh::{Stamp, VmList},
-    pointvane_telemetry::{EventLog, MonotonicClock, wall_ms},
+    pointvane_telemetry::{EventLog, MonotonicClock, unix_time_ms},
     std::sync::{
         Arc, Mutex, MutexGuard, PoisonError, RwLock,
         atomic::{AtomicBool, AtomicU64, Ordering},
@@ -50,7 +50,7 @@
 impl Entry {
     /// Creates the state without a configuration.
     pub fn new(settings: Settings, events: Arc<EventLog>, counters: EntryCounters) -> Self {
-        let incarnation = Incarnation(wall_ms());
+        let incarnation = Incarnation(unix_time_ms());
         let keys = KeyTable::new(KeyTableOptions::default(), settings.vm.name.clone(), incarnation);
         Self {
             settings,
@@ -164,7 +164,7 @@
         for service in &self.routes().services {
             let upstreams = service.summaries();
             let events = transitions.update(&service.name, service.overload_refusals(), &upstreams);
-            events.into_iter().for_each(|event| self.events.note(event));
+            events.into_iter().for_each(|event| self.events.record(event));
         }
     }
 }
--- a/crates/pointvane-entry/src/feed.rs
+++ b/crates/pointvane-entry/src/feed.rs
@@ -3,12 +3,12 @@
 use {
     crate::{entry::Entry, members::Members},
     pointvane_config::unpack,
-    pointvane_feed::FeedUser,
+    pointvane_feed::FeedHandler,
     pointvane_mesh::{EntryReport, FeedRole, FeedUpdate, Stored},
     pointvane_telemetry::EventKind,
 };
 
-impl FeedUser for Entry {
+impl FeedHandler for Entry {
     const ROLE: FeedRole = FeedRole::Entry;
 
     fn update(&self, update: FeedUpdate) {
@@ -20,8 +20,8 @@
         }
     }
 
-    fn connected(&self, connected: bool) {
-        self.events.note(if connected { EventKind::FeedBack } else { EventKind::FeedLost });
+    fn connection_changed(&self, connected: bool) {
+        self.events.record(if connected { EventKind::FeedBack } else { EventKind::FeedLost });
     }
 
     fn report(&self) -> Option<EntryReport> {
@@ -39,5 +39,5 @@
         return;
     }
     entry.configure(&packed.configuration);
-    entry.events.note(EventKind::ConfigurationAccepted { revision, index });
+    entry.events.record(EventKind::ConfigurationAccepted { revision, index });
 }
--- a/crates/pointvane-entry/src/stop.rs
+++ b/crates/pointvane-entry/src/stop.rs
@@ -5,7 +5,7 @@
     eyre::{Result, WrapErr},
     pointvane_config::{EntrySettings, Settings},
     pointvane_feed::spawn_feed,
-    pointvane_serve::{Phase, ServeOptions, serve as accept},
+    pointvane_serve::{ServerOptions, ShutdownPhase, serve as accept},
     pointvane_telemetry::{EventKind, EventLog, Metrics, Program, serve_operator},
     std::{
         net::SocketAddr,
@@ -55,12 +55,12 @@
     let _operator = serve_operator(operator, metrics, Arc::clone(&events), Arc::clone(&entry))?;
     spawn_feed(SocketAddr::new(vm.address, entry.settings.control.port), Arc::clone(&entry));
 
-    let (phase, phase_receiver) = watch::channel(Phase::Running);
+    let (phase, phase_receiver) = watch::channel(ShutdownPhase::Running);
     tokio::spawn(exchange_load(Arc::clone(&entry), socket));
     tokio::spawn(maintain(Arc::clone(&entry)));
     let accept_task =
-        tokio::spawn(accept(Arc::clone(&entry), listener, serve_options(&entry.settings), phase_receiver));
-    events.note(EventKind::Started);
+        tokio::spawn(accept(Arc::clone(&entry), listener, server_options(&entry.settings), phase_receiver));
+    events.record(EventKind::Started);
 
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -73,29 +73,29 @@
     Ok(())
 }
 
-fn serve_options(settings: &Settings) -> ServeOptions {
+fn server_options(settings: &Settings) -> ServerOptions {
     let EntrySettings { connections_max, head_limit_bytes, head_timeout_ms, .. } = settings.entry;
-    ServeOptions { connections_max, head_limit_bytes, head_timeout_ms }
+    ServerOptions { connections_max, head_limit_bytes, head_timeout_ms }
 }
 
 /// Stops gracefully: serves on until callers have been directed to other VMs, then refuses new connections,
 /// closes each open one after its current request and waits for them to end, all within `entry.stop_wait_ms`.
-async fn stop(entry: &Entry, phase: &watch::Sender<Phase>) {
+async fn stop(entry: &Entry, phase: &watch::Sender<ShutdownPhase>) {
     entry.stopping.store(true, Ordering::Relaxed);
-    entry.events.note(EventKind::Stopping { in_flight: u64::from(entry.requests()) });
+    entry.events.record(EventKind::Stopping { in_flight: u64::from(entry.requests()) });
     let stop_deadline = Instant::now() + Duration::from_millis(entry.settings.entry.stop_wait_ms);
     // Callers may cache an answer of the locate service for this long, so connections are still accepted.
     let grace = STOP_PROPAGATION_TIME + Duration::from_millis(entry.routes().locate_keep_ms);
     sleep(grace.min(stop_deadline.saturating_duration_since(Instant::now()))).await;
-    phase.send_replace(Phase::Closing);
+    phase.send_replace(ShutdownPhase::Closing);
     while in_flight(entry, phase) > 0 && Instant::now() < stop_deadline {
         sleep(POLL_INTERVAL).await;
     }
-    entry.events.note(EventKind::Stopped { cut: in_flight(entry, phase) });
+    entry.events.record(EventKind::Stopped { cut: in_flight(entry, phase) });
     sleep(FLUSH_TIME).await;
 }
 
 /// Number of open connections and of running requests with an idempotency key.
-fn in_flight(entry: &Entry, phase: &watch::Sender<Phase>) -> u64 {
+fn in_flight(entry: &Entry, phase: &watch::Sender<ShutdownPhase>) -> u64 {
     phase.receiver_count() as u64 + entry.keyed_in_flight.load(Ordering::Relaxed)
 }
--- a/crates/pointvane-feed/src/lib.rs
+++ b/crates/pointvane-feed/src/lib.rs
@@ -25,7 +25,7 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Callbacks of a program that uses the feed.
-pub trait FeedUser: Send + Sync + 'static {
+pub trait FeedHandler: Send + Sync + 'static {
     /// Role that the program announces to the control process.
     const ROLE: FeedRole;
 
@@ -33,20 +33,20 @@
     fn update(&self, update: FeedUpdate);
 
     /// Called when the stream has been connected (`true`) or lost (`false`).
-    fn connected(&self, connected: bool);
+    fn connection_changed(&self, connected: bool);
 
     /// Returns the report to send to the control process; `None` for programs that send no reports.
     fn report(&self) -> Option<EntryReport>;
 }
 
 /// Starts a thread that keeps the feed connected for the lifetime of the process.
-pub fn spawn_feed<U: FeedUser>(control: SocketAddr, user: std::sync::Arc<U>) {
+pub fn spawn_feed<H: FeedHandler>(control: SocketAddr, handler: std::sync::Arc<H>) {
     thread::spawn(move || {
         let mut was_connected = false;
         loop {
-            let result = run_connection(control, &*user, &mut was_connected);
+            let result = run_connection(control, &*handler, &mut was_connected);
             if was_connected && result.is_err() {
-                user.connected(false);
+                handler.connection_changed(false);
                 was_connected = false;
             }
             thread::sleep(RECONNECT_PAUSE);
@@ -54,19 +54,23 @@
     });
 }
 
-fn run_connection<U: FeedUser>(control: SocketAddr, user: &U, was_connected: &mut bool) -> io::Result<()> {
+fn run_connection<H: FeedHandler>(
+    control: SocketAddr,
+    handler: &H,
+    was_connected: &mut bool,
+) -> io::Result<()> {
     let mut stream = TcpStream::connect_timeout(&control, CONNECT_TIMEOUT)?;
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(READ_TIMEOUT))?;
-    codec::write_frame(&mut stream, &FeedHello { role: U::ROLE })?;
+    codec::write_frame(&mut stream, &FeedHello { role: H::ROLE })?;
     let mut reader = BufReader::new(stream.try_clone()?);
-    user.connected(true);
+    handler.connection_changed(true);
     *was_connected = true;
     thread::scope(|scope| {
-        scope.spawn(|| send_reports(stream, user));
+        scope.spawn(|| send_reports(stream, handler));
         loop {
             match codec::read_frame(&mut reader) {
-                Ok(update) => user.update(update),
+                Ok(update) => handler.update(update),
                 Err(error) => {
                     // Makes the next write of `send_reports` fail, which ends its thread.
                     let _ = reader.get_ref().shutdown(std::net::Shutdown::Both);
@@ -78,9 +82,9 @@
 }
 
 /// Sends reports until the stream breaks or the program has none.
-fn send_reports<U: FeedUser>(mut stream: TcpStream, user: &U) {
+fn send_reports<H: FeedHandler>(mut stream: TcpStream, handler: &H) {
     let mut next_report_at = Instant::now();
-    while let Some(report) = user.report() {
+    while let Some(report) = handler.report() {
         if codec::write_frame(&mut stream, &report).is_err() {
             return;
         }
--- a/crates/pointvane-locate/src/locate.rs
+++ b/crates/pointvane-locate/src/locate.rs
@@ -15,10 +15,10 @@
     opentelemetry::metrics::Counter,
     pointvane_config::{Configuration, Settings, unpack},
     pointvane_core::{IdempotencyKey, Name},
-    pointvane_feed::FeedUser,
+    pointvane_feed::FeedHandler,
     pointvane_mesh::{EntryReport, FeedRole, FeedUpdate, MemberRow, Stamp},
     pointvane_serve::Handler,
-    pointvane_telemetry::{EventKind, EventLog, OperatorState, wall_ms},
+    pointvane_telemetry::{EventKind, EventLog, OperatorState, unix_time_ms},
     serde::Serialize,
     std::{
         net::SocketAddr,
@@ -117,7 +117,7 @@
         feed_state.configuration = Some(packed.configuration);
         drop(feed_state);
         let Stamp { revision, index } = stamp;
-        self.events.note(EventKind::ConfigurationAccepted { revision, index });
+        self.events.record(EventKind::ConfigurationAccepted { revision, index });
     }
 }
 
@@ -154,7 +154,7 @@
     let incarnation = row.entry?.incarnation;
     // An incarnation is the process's start time on the wall clock. Clock skew between VMs only shortens or
     // lengthens the lifetime of keys by the same amount.
-    let since_start_ms = wall_ms().saturating_sub(incarnation.0);
+    let since_start_ms = unix_time_ms().saturating_sub(incarnation.0);
     Some(EntryAddress {
         vm: row.identity.name.clone(),
         data_centre: row.identity.data_centre.clone(),
@@ -163,7 +163,7 @@
     })
 }
 
-impl FeedUser for Locate {
+impl FeedHandler for Locate {
     const ROLE: FeedRole = FeedRole::Locate;
 
     fn update(&self, update: FeedUpdate) {
@@ -174,8 +174,8 @@
         }
     }
 
-    fn connected(&self, connected: bool) {
-        self.events.note(if connected { EventKind::FeedBack } else { EventKind::FeedLost });
+    fn connection_changed(&self, connected: bool) {
+        self.events.record(if connected { EventKind::FeedBack } else { EventKind::FeedLost });
     }
 
     fn report(&self) -> Option<EntryReport> {
--- a/crates/pointvane-locate/src/run.rs
+++ b/crates/pointvane-locate/src/run.rs
@@ -5,7 +5,7 @@
     eyre::{Result, WrapErr},
     pointvane_config::Settings,
     pointvane_feed::spawn_feed,
-    pointvane_serve::{Phase, ServeOptions, serve},
+    pointvane_serve::{ServerOptions, ShutdownPhase, serve},
     pointvane_telemetry::{EventKind, EventLog, Metrics, Program, serve_operator},
     std::{net::SocketAddr, sync::Arc, time::Duration},
     tokio::{
@@ -43,18 +43,18 @@
     let listener = TcpListener::bind(address).await.wrap_err_with(|| format!("locate port {address}"))?;
     let _operator = serve_operator(operator, metrics, Arc::clone(&events), Arc::clone(&locate))?;
     spawn_feed(control, Arc::clone(&locate));
-    events.note(EventKind::Started);
+    events.record(EventKind::Started);
 
-    let (phase, phases) = watch::channel(Phase::Running);
-    let server = tokio::spawn(serve(locate, listener, ServeOptions::default(), phases));
+    let (phase, phases) = watch::channel(ShutdownPhase::Running);
+    let server = tokio::spawn(serve(locate, listener, ServerOptions::default(), phases));
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    events.note(EventKind::Stopping { in_flight: phase.receiver_count() as u64 });
-    phase.send_replace(Phase::Closing);
+    events.record(EventKind::Stopping { in_flight: phase.receiver_count() as u64 });
+    phase.send_replace(ShutdownPhase::Closing);
     let drained = async {
         while phase.receiver_count() > 0 {
             sleep(DRAIN_POLL_INTERVAL).await;
@@ -62,7 +62,7 @@
     };
     // Connections that are still open after the wait belong to callers that do not read their answers.
     let _ = timeout(DRAIN_TIMEOUT, drained).await;
-    events.note(EventKind::Stopped { cut: phase.receiver_count() as u64 });
+    events.record(EventKind::Stopped { cut: phase.receiver_count() as u64 });
     server.abort();
     Ok(())
 }
--- a/crates/pointvane-node/src/connections.rs
+++ b/crates/pointvane-node/src/connections.rs
@@ -11,7 +11,7 @@
         client::conn::http1::{self, SendRequest},
     },
     hyper_util::rt::TokioIo,
-    pointvane_telemetry::Moment,
+    pointvane_telemetry::BootInstant,
     std::{
         cell::RefCell,
         collections::{HashMap, VecDeque},
@@ -59,9 +59,9 @@
 struct IdleConnection {
     sender: SendRequest<RelayBody>,
     round_trip: Duration,
-    idle_since: Moment,
+    idle_since: BootInstant,
     idle_time_max: Duration,
-    request_ended_at: Option<Moment>,
+    request_ended_at: Option<BootInstant>,
 }
 
 impl IdleConnection {
@@ -92,7 +92,7 @@
     idle: Rc<IdleByAddress>,
     purpose: Purpose,
     reused: bool,
-    request_ended_at: Option<Moment>,
+    request_ended_at: Option<BootInstant>,
 }
 
 /// Why a request has no response.
@@ -142,7 +142,7 @@
     /// # Errors
     /// [`Unreachable`] when the upstream refuses, does not answer in time, or the HTTP handshake fails.
     pub async fn open(&self, address: SocketAddr, purpose: Purpose) -> Result<Connection, Unreachable> {
-        let began = Moment::now();
+        let began = BootInstant::now();
         let stream = socket::connect(address, CONNECT_TIMEOUT).await.map_err(|_| Unreachable)?;
         let round_trip = began.elapsed();
         let mut builder = http1::Builder::new();
@@ -214,7 +214,7 @@
     pub fn keep(self, answer: &HeaderMap) {
         let request_ended_at = match self.purpose {
             Purpose::Probe => self.request_ended_at,
-            Purpose::Repeatable | Purpose::NonRepeatable => Some(Moment::now()),
+            Purpose::Repeatable | Purpose::NonRepeatable => Some(BootInstant::now()),
         };
         let mut idle = self.idle.borrow_mut();
         let queue = idle.entry(self.address).or_default();
@@ -223,7 +223,7 @@
             queue.push_back(IdleConnection {
                 sender: self.sender,
                 round_trip: self.round_trip,
-                idle_since: Moment::now(),
+                idle_since: BootInstant::now(),
                 idle_time_max,
                 request_ended_at,
             });
--- a/crates/pointvane-node/src/dispatcher.rs
+++ b/crates/pointvane-node/src/dispatcher.rs
@@ -69,7 +69,7 @@
         Self {
             admission: AdmissionPolicy { target_share, rank_step },
             search: SearchOptions {
-                probes: policy == ChoicePolicy::Ask,
+                probes: policy == ChoicePolicy::ProbeLoad,
                 first_round: options.choice.ask_first,
                 second_round: options.choice.ask_more,
             },
@@ -204,8 +204,8 @@
 
 fn ranking_options(policy: ChoicePolicy) -> RankingOptions {
     let ranking = match policy {
-        ChoicePolicy::Ask => Ranking::Cost,
-        ChoicePolicy::OwnLeast => Ranking::InFlight,
+        ChoicePolicy::ProbeLoad => Ranking::Cost,
+        ChoicePolicy::LeastOwnRequests => Ranking::InFlight,
         ChoicePolicy::Random => Ranking::Random,
     };
     RankingOptions { ranking, ..RankingOptions::default() }
--- a/crates/pointvane-node/src/node.rs
+++ b/crates/pointvane-node/src/node.rs
@@ -10,7 +10,7 @@
     },
     pointvane_config::NodeOptions,
     pointvane_core::{Clock, Incarnation, PlatformAdapter},
-    pointvane_telemetry::{MonotonicClock, wall_ms},
+    pointvane_telemetry::{MonotonicClock, unix_time_ms},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::cell::{Ref, RefCell},
     tokio::sync::Notify,
@@ -49,7 +49,7 @@
         let clock = MonotonicClock::start();
         let now_us = clock.now_us();
         let mut seed_rng = SmallRng::from_os_rng();
-        let incarnation = Incarnation(wall_ms());
+        let incarnation = Incarnation(unix_time_ms());
         Self {
             headers: adapter.headers().into(),
             adapter,
--- a/crates/pointvane-node/src/report.rs
+++ b/crates/pointvane-node/src/report.rs
@@ -10,12 +10,12 @@
         KeyValue,
         metrics::{Counter, Histogram},
     },
-    pointvane_config::LineOptions,
+    pointvane_config::LogOptions,
     pointvane_core::{ErrorKind, ItemFault, Name},
     pointvane_dispatch::{CallReason, QuarantineChange},
     pointvane_telemetry::{
-        EventKind, EventLog, GateDecision, LineFlush, LineForm, LineGate, LineGateOptions, Metrics, Program,
-        stdout_logger,
+        EventKind, EventLog, LineDecision, LineFlush, LineLayout, LogRateLimiter, LogRateLimits, Metrics,
+        Program, stdout_logger,
     },
     std::{cell::RefCell, collections::HashSet, sync::Arc, time::Duration},
 };
@@ -42,7 +42,7 @@
     /// All metrics.
     pub metrics: Metrics,
     flush: RefCell<Option<LineFlush>>,
-    gate: RefCell<LineGate>,
+    rate_limiter: RefCell<LogRateLimiter>,
     labels: RefCell<HashSet<Name>>,
     requests: Counter<u64>,
     refusals: Counter<u64>,
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// Fails if the metrics exporter cannot be set up.
-    pub fn new(vm: &Name, lines: LineOptions) -> Result<Self> {
+    pub fn new(vm: &Name, lines: LogOptions) -> Result<Self> {
         let metrics = Metrics::new()?;
         let meter = metrics.meter();
         let counter = |name: &'static str| meter.u64_counter(name).build();
@@ -81,10 +81,10 @@
         let (log, flush) = stdout_logger(Program::Node.as_str(), vm);
         Ok(Self {
             events: EventLog::new(vm.clone(), Program::Node, log)
-                .with_lines(LineForm::Fields)
-                .with_ring(EVENTS_KEPT),
+                .with_line_layout(LineLayout::Fields)
+                .with_capacity(EVENTS_KEPT),
             flush: RefCell::new(Some(flush)),
-            gate: RefCell::new(line_gate(lines)),
+            rate_limiter: RefCell::new(log_rate_limiter(lines)),
             labels: RefCell::default(),
             requests: counter("pointvane_node_requests"),
             refusals: counter("pointvane_node_refusals"),
@@ -119,39 +119,39 @@
 
     /// Records a change of this node's own state; its line is never suppressed.
     pub fn record(&self, kind: EventKind) {
-        self.events.note(kind);
+        self.events.record(kind);
     }
 
     /// Records a state change of an upstream or another node; its line is suppressed above the rate limit.
     pub fn record_rate_limited(&self, now_us: u64, kind: EventKind) {
-        let decision = self.gate.borrow_mut().change(now_us);
+        let decision = self.rate_limiter.borrow_mut().change(now_us);
         self.record_suppressed(decision);
         if decision.written {
-            self.events.note(kind);
+            self.events.record(kind);
         } else {
-            self.events.keep(kind);
+            self.events.record_in_ring(kind);
         }
     }
 
-    fn record_suppressed(&self, decision: GateDecision) {
+    fn record_suppressed(&self, decision: LineDecision) {
         if let Some(count) = decision.suppressed {
-            self.events.note(EventKind::LinesLeftOut { count });
+            self.events.record(EventKind::LinesLeftOut { count });
         }
     }
 
     /// Writes a line for a sample of successful requests.
     pub fn success(&self, line: impl FnOnce() -> EventKind) {
-        if self.gate.borrow_mut().success() {
-            self.events.note(line());
+        if self.rate_limiter.borrow_mut().success() {
+            self.events.record(line());
         }
     }
 
     /// Writes a line for a failed request, unless the rate limit is exceeded.
     pub fn failure(&self, now_us: u64, line: impl FnOnce() -> EventKind) {
-        let decision = self.gate.borrow_mut().failure(now_us);
+        let decision = self.rate_limiter.borrow_mut().failure(now_us);
         self.record_suppressed(decision);
         if decision.written {
-            self.events.note(line());
+            self.events.record(line());
         }
     }
 
@@ -266,8 +266,8 @@
     }
 }
 
-fn line_gate(lines: LineOptions) -> LineGate {
-    LineGate::new(LineGateOptions {
+fn log_rate_limiter(lines: LogOptions) -> LogRateLimiter {
+    LogRateLimiter::new(LogRateLimits {
         successes_every: lines.well_every,
         failures_per_s: lines.wrong_per_s,
         changes_per_s: lines.beliefs_per_s,
--- a/crates/pointvane-serve/src/lib.rs
+++ b/crates/pointvane-serve/src/lib.rs
@@ -23,7 +23,7 @@
 
 /// Limits on callers.
 #[derive(Clone, Debug)]
-pub struct ServeOptions {
+pub struct ServerOptions {
     /// Maximum number of concurrent connections; further ones wait in the kernel's backlog.
     pub connections_max: usize,
     /// Maximum size of a request head, in bytes.
@@ -33,7 +33,7 @@
     pub head_timeout_ms: u64,
 }
 
-impl Default for ServeOptions {
+impl Default for ServerOptions {
     fn default() -> Self {
         Self { connections_max: 4_096, head_limit_bytes: 16_384, head_timeout_ms: 60_000 }
     }
@@ -53,22 +53,22 @@
 
 /// Phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// No shutdown has begun.
     Running,
     /// New connections are refused; open ones close after their requests in flight.
     Closing,
 }
 
-/// Accepts connections until `phase` is [`Phase::Closing`], then returns at once.
+/// Accepts connections until `phase` is [`ShutdownPhase::Closing`], then returns at once.
 ///
 /// Each connection holds a receiver of `phase` until it ends, so the sender's receiver count shows when all
 /// have ended.
 pub async fn serve<H: Handler>(
     handler: Arc<H>,
     listener: TcpListener,
-    options: ServeOptions,
-    mut phase: watch::Receiver<Phase>,
+    options: ServerOptions,
+    mut phase: watch::Receiver<ShutdownPhase>,
 ) {
     let connection_permits = Arc::new(Semaphore::new(options.connections_max));
     loop {
@@ -77,7 +77,7 @@
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = phase.wait_for(|phase| *phase == Phase::Closing) => return,
+            _ = phase.wait_for(|phase| *phase == ShutdownPhase::Closing) => return,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -96,8 +96,8 @@
 async fn serve_connection<H: Handler>(
     handler: Arc<H>,
     stream: TcpStream,
-    options: ServeOptions,
-    mut phase: watch::Receiver<Phase>,
+    options: ServerOptions,
+    mut phase: watch::Receiver<ShutdownPhase>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut builder = http1::Builder::new();
@@ -110,7 +110,7 @@
         async move { Ok::<_, Infallible>(response.await) }
     });
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
-    let closing = phase.wait_for(|phase| *phase == Phase::Closing);
+    let closing = phase.wait_for(|phase| *phase == ShutdownPhase::Closing);
     tokio::select! {
         result = connection.as_mut() => return result.map_err(io::Error::other),
         _ = closing => connection.as_mut().graceful_shutdown(),
--- a/crates/pointvane-telemetry/src/clock.rs
+++ b/crates/pointvane-telemetry/src/clock.rs
@@ -14,9 +14,9 @@
 /// `std::time::Instant` does not advance while a machine is suspended. Leases, load reports, idle connections,
 /// upstream back-offs and request deadlines based on it would look as fresh after a resume as before.
 #[derive(Clone, Copy, Debug)]
-pub struct Moment(Duration);
+pub struct BootInstant(Duration);
 
-impl Moment {
+impl BootInstant {
     /// The current time.
     pub fn now() -> Self {
         let time = clock_gettime(ClockId::Boottime);
@@ -33,13 +33,13 @@
 /// Clock that counts from the time it was started, including time that the machine was suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct MonotonicClock {
-    started: Moment,
+    started: BootInstant,
 }
 
 impl MonotonicClock {
     /// Starts a clock.
     pub fn start() -> Self {
-        Self { started: Moment::now() }
+        Self { started: BootInstant::now() }
     }
 
     /// Milliseconds since the start.
@@ -55,6 +55,6 @@
 }
 
 /// Wall-clock time in milliseconds since the Unix epoch; 0 if the clock is set to an earlier time.
-pub fn wall_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/pointvane-telemetry/src/event_log.rs
+++ b/crates/pointvane-telemetry/src/event_log.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        clock::wall_ms,
+        clock::unix_time_ms,
         event::{Event, EventKind, Program},
     },
     pointvane_core::Name,
@@ -37,7 +37,7 @@
 
 /// Layout of an event's log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LineForm {
+pub enum LineLayout {
     /// The whole event as one message.
     Text,
     /// The event's kind as the message and a structured field for each of its fields.
@@ -50,7 +50,7 @@
     vm: Name,
     program: Program,
     log: slog::Logger,
-    form: LineForm,
+    layout: LineLayout,
     ring_capacity: usize,
     ring: Mutex<Ring>,
 }
@@ -88,45 +88,45 @@
             vm,
             program,
             log,
-            form: LineForm::Text,
+            layout: LineLayout::Text,
             ring_capacity: DEFAULT_RING_CAPACITY,
             ring: Mutex::default(),
         }
     }
 
     /// Sets the layout of log lines.
-    pub fn with_lines(self, form: LineForm) -> Self {
-        Self { form, ..self }
+    pub fn with_line_layout(self, layout: LineLayout) -> Self {
+        Self { layout, ..self }
     }
 
     /// Sets the capacity of the ring buffer, in events.
-    pub fn with_ring(self, ring_capacity: usize) -> Self {
+    pub fn with_capacity(self, ring_capacity: usize) -> Self {
         Self { ring_capacity, ..self }
     }
 
-    /// Records an event and logs it. With [`LineForm::Fields`], events on single requests are only logged.
-    pub fn note(&self, kind: EventKind) {
-        if self.form == LineForm::Fields {
+    /// Records an event and logs it. With [`LineLayout::Fields`], events on single requests are only logged.
+    pub fn record(&self, kind: EventKind) {
+        if self.layout == LineLayout::Fields {
             let fields = Fields(kind.fields());
             slog::info!(self.log, "{}", fields.name(); &fields);
         }
-        if self.form == LineForm::Text || !kind.is_request_event() {
-            self.keep(kind);
+        if self.layout == LineLayout::Text || !kind.is_request_event() {
+            self.record_in_ring(kind);
         }
     }
 
-    /// Records an event. It is logged only with [`LineForm::Text`], where every recorded event is a line.
-    pub fn keep(&self, kind: EventKind) {
+    /// Records an event. It is logged only with [`LineLayout::Text`], where every recorded event is a line.
+    pub fn record_in_ring(&self, kind: EventKind) {
         let mut ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
         ring.sequence += 1;
         let event = Event {
             sequence: ring.sequence,
-            at_ms: wall_ms(),
+            at_ms: unix_time_ms(),
             vm: self.vm.clone(),
             program: self.program,
             kind,
         };
-        if self.form == LineForm::Text {
+        if self.layout == LineLayout::Text {
             slog::info!(self.log, "{}", event);
         }
         if ring.events.len() == self.ring_capacity {
@@ -140,6 +140,6 @@
     pub fn page(&self, after: u64) -> EventPage {
         let ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
         let events = ring.events.iter().filter(|event| event.sequence > after).cloned().collect();
-        EventPage { clock_ms: wall_ms(), dropped: ring.dropped, events }
+        EventPage { clock_ms: unix_time_ms(), dropped: ring.dropped, events }
     }
 }
--- a/crates/pointvane-telemetry/src/gate.rs
+++ b/crates/pointvane-telemetry/src/rate_limiter.rs
@@ -5,7 +5,7 @@
 
 /// Limits on log lines. Bounded logging costs a node less than a line for every request and state change.
 #[derive(Clone, Copy, Debug)]
-pub struct LineGateOptions {
+pub struct LogRateLimits {
     /// One in this many lines on successes is written.
     pub successes_every: u64,
     /// Maximum lines on failures per second.
@@ -14,7 +14,7 @@
     pub changes_per_s: u64,
 }
 
-impl Default for LineGateOptions {
+impl Default for LogRateLimits {
     fn default() -> Self {
         Self { successes_every: 64, failures_per_s: 40, changes_per_s: 60 }
     }
@@ -22,7 +22,7 @@
 
 /// Whether a line may be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GateDecision {
+pub struct LineDecision {
     /// Whether the line may be written.
     pub written: bool,
     /// Lines suppressed in the last second with a failure or state change, if any; the caller logs this count
@@ -33,8 +33,8 @@
 /// Rate limiter for the log lines of one process. Failures and state changes are limited separately, each per
 /// second of the clock that the caller passes in.
 #[derive(Debug, Default)]
-pub struct LineGate {
-    options: LineGateOptions,
+pub struct LogRateLimiter {
+    options: LogRateLimits,
     successes: u64,
     second: u64,
     failures_written: u64,
@@ -42,9 +42,9 @@
     suppressed: u64,
 }
 
-impl LineGate {
+impl LogRateLimiter {
     /// Creates a limiter with empty counts.
-    pub fn new(options: LineGateOptions) -> Self {
+    pub fn new(options: LogRateLimits) -> Self {
         Self { options, ..Self::default() }
     }
 
@@ -55,21 +55,21 @@
     }
 
     /// Whether a line on a failure may be written at `now_us`.
-    pub fn failure(&mut self, now_us: u64) -> GateDecision {
+    pub fn failure(&mut self, now_us: u64) -> LineDecision {
         let suppressed = self.roll_over(now_us);
         let written = self.failures_written < self.options.failures_per_s;
         self.failures_written += u64::from(written);
         self.suppressed += u64::from(!written);
-        GateDecision { written, suppressed }
+        LineDecision { written, suppressed }
     }
 
     /// Whether a line on a state change of an upstream or another node may be written at `now_us`.
-    pub fn change(&mut self, now_us: u64) -> GateDecision {
+    pub fn change(&mut self, now_us: u64) -> LineDecision {
         let suppressed = self.roll_over(now_us);
         let written = self.changes_written < self.options.changes_per_s;
         self.changes_written += u64::from(written);
         self.suppressed += u64::from(!written);
-        GateDecision { written, suppressed }
+        LineDecision { written, suppressed }
     }
 
     /// Resets the per-second counts when `now_us` lies in another second, and returns the lines suppressed
--- a/crates/pointvane-telemetry/tests/events.rs
+++ b/crates/pointvane-telemetry/tests/events.rs
@@ -4,7 +4,7 @@
     googletest::prelude::*,
     pointvane_core::{Name, VmState},
     pointvane_telemetry::{
-        Event, EventKind, EventLog, GateDecision, LineForm, LineGate, LineGateOptions, Program,
+        Event, EventKind, EventLog, LineDecision, LineLayout, LogRateLimiter, LogRateLimits, Program,
     },
 };
 
@@ -55,7 +55,7 @@
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let events = EventLog::new("entry-1".into(), Program::Entry, log);
     for _ in 0..5_000 {
-        events.note(EventKind::FeedLost);
+        events.record(EventKind::FeedLost);
     }
     let page = events.page(0);
     expect_that!(page.events.len() as u64 + page.dropped, eq(5_000));
@@ -65,22 +65,23 @@
 
 #[gtest]
 fn state_change_and_failure_lines_are_limited_separately_and_suppressed_lines_counted() {
-    let options = LineGateOptions { changes_per_s: 3, failures_per_s: 2, ..LineGateOptions::default() };
-    let mut gate = LineGate::new(options);
-    let changes = (0..10).filter(|_| gate.change(1_500_000).written).count();
-    let failures = (0..10).filter(|_| gate.failure(1_600_000).written).count();
+    let options = LogRateLimits { changes_per_s: 3, failures_per_s: 2, ..LogRateLimits::default() };
+    let mut limiter = LogRateLimiter::new(options);
+    let changes = (0..10).filter(|_| limiter.change(1_500_000).written).count();
+    let failures = (0..10).filter(|_| limiter.failure(1_600_000).written).count();
     expect_that!(changes, eq(3));
     expect_that!(failures, eq(2));
-    expect_that!(gate.change(2_000_000), eq(GateDecision { written: true, suppressed: Some(15) }));
-    expect_that!(gate.change(2_000_001), eq(GateDecision { written: true, suppressed: None }));
+    expect_that!(limiter.change(2_000_000), eq(LineDecision { written: true, suppressed: Some(15) }));
+    expect_that!(limiter.change(2_000_001), eq(LineDecision { written: true, suppressed: None }));
 }
 
 #[gtest]
 fn a_custom_ring_capacity_bounds_events_without_log_lines() {
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let events =
-        EventLog::new("node-1".into(), Program::Node, log).with_lines(LineForm::Fields).with_ring(10);
-    (0..12).for_each(|_| events.keep(EventKind::PlatformLost));
+    let events = EventLog::new("node-1".into(), Program::Node, log)
+        .with_line_layout(LineLayout::Fields)
+        .with_capacity(10);
+    (0..12).for_each(|_| events.record_in_ring(EventKind::PlatformLost));
     expect_that!(events.page(0).events.len(), eq(10));
     expect_that!(events.page(0).dropped, eq(2));
 }
--- a/crates/pointvane/src/timeline.rs
+++ b/crates/pointvane/src/timeline.rs
@@ -9,7 +9,7 @@
         nodes::{FleetArgs, OperatorClient},
         operator_address,
     },
-    pointvane_telemetry::{Event, EventPage, wall_ms},
+    pointvane_telemetry::{Event, EventPage, unix_time_ms},
     std::{net::SocketAddr, process::ExitCode},
 };
 
@@ -60,11 +60,11 @@
 
 impl Timeline {
     fn fetch(&mut self, client: &OperatorClient, port: SocketAddr) {
-        let requested_ms = wall_ms();
+        let requested_ms = unix_time_ms();
         let Some(page) = client.get_json::<EventPage>(port, "/events") else {
             return self.unreached.push(port);
         };
-        let received_ms = wall_ms();
+        let received_ms = unix_time_ms();
         let midpoint_ms = requested_ms.midpoint(received_ms);
         self.uncertainty_ms = self.uncertainty_ms.max((received_ms - requested_ms).div_ceil(2).max(1));
         self.dropped += page.dropped;
--- a/standins/tests/soak/directory.rs
+++ b/standins/tests/soak/directory.rs
@@ -9,7 +9,7 @@
         proxy::Proxy,
         users_platform::{Life, Manner, Store, Upstream},
     },
-    pointvane_telemetry::wall_ms,
+    pointvane_telemetry::unix_time_ms,
     std::{
         sync::{
             Mutex,
@@ -77,7 +77,7 @@
             link,
             faults: FaultHistory::default(),
             left_at: None,
-            born_ms: self.restarts.then(wall_ms),
+            born_ms: self.restarts.then(unix_time_ms),
             restarted_at: None,
         };
         self.list(&entry, "ready", self.next_sequence());
@@ -124,7 +124,7 @@
         if entry.left_at.is_some() {
             return false;
         }
-        entry.born_ms = Some(wall_ms());
+        entry.born_ms = Some(unix_time_ms());
         self.list(entry, "ready", 1);
         entry.restarted_at = Some(Instant::now());
         true
