--- a/crates/pointvane-control/src/fetch.rs
+++ b/crates/pointvane-control/src/fetch.rs
@@ -7,7 +7,7 @@
         value::{FetchRequest, ValueKind},
     },
     pointvane_core::VmState,
-    pointvane_mesh::{FeedHello, FeedRole, MemberRow, Offer, OfferVerdict, PeerAnswer, PeerRequest, codec},
+    pointvane_mesh::{FeedHello, FeedRole, MemberRow, Offer, OfferResult, PeerAnswer, PeerRequest, codec},
     rand::seq::{IteratorRandom, SliceRandom},
     std::{
         io::{self, BufReader},
@@ -35,9 +35,9 @@
             ValueKind::Configuration => PeerRequest::Configuration,
             ValueKind::VmList => PeerRequest::VmList,
         };
-        if let Ok(PeerAnswer::Value(Some(stored))) = send_request(fetch.from, &request) {
-            state.counters.record_fetched(stored.value.len());
-            state.offer(fetch.kind, Offer::Peer(stored));
+        if let Ok(PeerAnswer::Value(Some(stamped))) = send_request(fetch.from, &request) {
+            state.counters.record_fetched(stamped.value.len());
+            state.offer(fetch.kind, Offer::Peer(stamped));
         }
     }
 }
@@ -94,12 +94,12 @@
 /// Fetches both values from a peer; returns whether the peer had a valid configuration.
 fn fetch_values(state: &State, peer: SocketAddr) -> io::Result<bool> {
     let mut has_configuration = false;
-    if let PeerAnswer::Value(Some(stored)) = send_request(peer, &PeerRequest::Configuration)? {
-        let verdict = state.offer(ValueKind::Configuration, Offer::Peer(stored));
-        has_configuration = verdict.is_some_and(|verdict| verdict != OfferVerdict::Held);
+    if let PeerAnswer::Value(Some(stamped)) = send_request(peer, &PeerRequest::Configuration)? {
+        let result = state.offer(ValueKind::Configuration, Offer::Peer(stamped));
+        has_configuration = result.is_some_and(|result| result != OfferResult::Deferred);
     }
-    if let PeerAnswer::Value(Some(stored)) = send_request(peer, &PeerRequest::VmList)? {
-        state.offer(ValueKind::VmList, Offer::Peer(stored));
+    if let PeerAnswer::Value(Some(stamped)) = send_request(peer, &PeerRequest::VmList)? {
+        state.offer(ValueKind::VmList, Offer::Peer(stamped));
     }
     Ok(has_configuration)
 }
--- a/crates/pointvane-control/src/reader.rs
+++ b/crates/pointvane-control/src/reader.rs
@@ -4,7 +4,7 @@
     crate::{state::State, value::ValueKind},
     pointvane_config::unpack,
     pointvane_core::{Name, Platform, PlatformReading},
-    pointvane_mesh::{Offer, Stamp, Stored},
+    pointvane_mesh::{Offer, Stamp, StampedValue},
     pointvane_telemetry::EventKind,
     rand::Rng,
     std::{thread, time::Duration},
@@ -101,6 +101,6 @@
             },
         };
         let stamp = Stamp { revision, index: reading.index };
-        self.state.offer(self.kind, Offer::Platform(Stored { stamp, value }));
+        self.state.offer(self.kind, Offer::Platform(StampedValue { stamp, value }));
     }
 }
--- a/crates/pointvane-control/src/serve.rs
+++ b/crates/pointvane-control/src/serve.rs
@@ -77,9 +77,9 @@
 
 fn answer_request(state: &State, request: PeerRequest) -> PeerAnswer {
     let value = |kind| {
-        let stored = state.held(kind);
-        state.counters.record_served(stored.as_ref().map_or(0, |stored| stored.value.len()));
-        PeerAnswer::Value(stored)
+        let stamped = state.current(kind);
+        state.counters.record_served(stamped.as_ref().map_or(0, |stamped| stamped.value.len()));
+        PeerAnswer::Value(stamped)
     };
     match request {
         PeerRequest::Configuration => value(ValueKind::Configuration),
@@ -133,13 +133,13 @@
         sent.members.clone_from(&members);
         updates.push(FeedUpdate::Members(members));
     }
-    if let Some(stored) = configuration {
-        sent.configuration = stored.stamp;
-        updates.push(FeedUpdate::Configuration(stored));
+    if let Some(stamped) = configuration {
+        sent.configuration = stamped.stamp;
+        updates.push(FeedUpdate::Configuration(stamped));
     }
-    if let Some(stored) = vm_list {
-        sent.vm_list = stored.stamp;
-        updates.extend(serde_json::from_slice(&stored.value).ok().map(FeedUpdate::VmList));
+    if let Some(stamped) = vm_list {
+        sent.vm_list = stamped.stamp;
+        updates.extend(serde_json::from_slice(&stamped.value).ok().map(FeedUpdate::VmList));
     }
     updates
 }
--- a/crates/pointvane-control/src/state.rs
+++ b/crates/pointvane-control/src/state.rs
@@ -9,7 +9,7 @@
     pointvane_core::{Clock, Incarnation, Name, VmIdentity, VmState},
     pointvane_mesh::{
         Action, EntryReport, EntryRow, GossipMessage, MemberRow, Membership, MembershipOptions, Offer,
-        OfferVerdict, Spread, SpreadAction, Stamp, Stamps, Stored, choose_readers, codec,
+        OfferResult, ReplicatedValue, ReplicationAction, Stamp, StampedValue, Stamps, choose_readers, codec,
     },
     pointvane_telemetry::{EventKind, EventLog, MonotonicClock, unix_time_ms},
     std::{
@@ -24,8 +24,8 @@
 pub struct Inner {
     /// Membership of the fleet.
     pub membership: Membership,
-    pub(crate) configuration: Spread,
-    pub(crate) vm_list: Spread,
+    pub(crate) configuration: ReplicatedValue,
+    pub(crate) vm_list: ReplicatedValue,
     pub(crate) reads_platform: bool,
 }
 
@@ -67,8 +67,8 @@
         };
         let inner = Inner {
             membership: Membership::new(options, own_row, seed, now_us),
-            configuration: Spread::new(now_us),
-            vm_list: Spread::new(now_us),
+            configuration: ReplicatedValue::new(now_us),
+            vm_list: ReplicatedValue::new(now_us),
             reads_platform: false,
         };
         let (inner, changed) = (Mutex::new(inner), Condvar::new());
@@ -95,7 +95,7 @@
         inner.vm_list.tick(now_us);
         drop(inner);
         self.run_actions(actions);
-        if released == Some(OfferVerdict::Accepted) {
+        if released == Some(OfferResult::Accepted) {
             self.announce_accepted();
         }
         self.update_reader_role();
@@ -107,16 +107,16 @@
         let peer = message.from.control_address();
         let mut inner = self.lock();
         let actions = inner.membership.receive(from, message, now_us);
-        let configuration = inner.configuration.heard(message.stamps.configuration, peer, now_us);
-        let vm_list = inner.vm_list.heard(message.stamps.vm_list, peer, now_us);
+        let configuration = inner.configuration.observe_stamp(message.stamps.configuration, peer, now_us);
+        let vm_list = inner.vm_list.observe_stamp(message.stamps.vm_list, peer, now_us);
         drop(inner);
         self.run_actions(actions);
         self.fetch(ValueKind::Configuration, configuration);
         self.fetch(ValueKind::VmList, vm_list);
     }
 
-    fn fetch(&self, kind: ValueKind, action: Option<SpreadAction>) {
-        if let Some(SpreadAction::Fetch(from)) = action {
+    fn fetch(&self, kind: ValueKind, action: Option<ReplicationAction>) {
+        if let Some(ReplicationAction::Fetch(from)) = action {
             // Sending cannot fail: the receiver lives as long as the process.
             let _ = self.fetch_sender.send(FetchRequest { kind, from });
         }
@@ -133,29 +133,29 @@
     }
 
     /// Returns the current value.
-    pub fn held(&self, kind: ValueKind) -> Option<Stored> {
-        self.lock().spread(kind).held().cloned()
+    pub fn current(&self, kind: ValueKind) -> Option<StampedValue> {
+        self.lock().replicated_value(kind).current().cloned()
     }
 
-    /// Offers a value from the platform or a peer. Returns the verdict, or `None` if the value is malformed.
-    pub fn offer(&self, kind: ValueKind, offer: Offer) -> Option<OfferVerdict> {
-        let (Offer::Platform(stored) | Offer::Peer(stored)) = &offer;
-        let stamp = stored.stamp;
-        if !is_valid(kind, stored) {
+    /// Offers a value from the platform or a peer. Returns the result, or `None` if the value is malformed.
+    pub fn offer(&self, kind: ValueKind, offer: Offer) -> Option<OfferResult> {
+        let (Offer::Platform(stamped) | Offer::Peer(stamped)) = &offer;
+        let stamp = stamped.stamp;
+        if !is_valid(kind, stamped) {
             self.log_refusal(stamp, "damaged");
             return None;
         }
         let mut inner = self.lock();
-        let verdict = inner.spread(kind).offer(offer, self.clock.now_us());
+        let result = inner.replicated_value(kind).offer(offer, self.clock.now_us());
         drop(inner);
-        match verdict {
-            OfferVerdict::Accepted => self.announce_accepted(),
-            OfferVerdict::Older if kind == ValueKind::Configuration => {
+        match result {
+            OfferResult::Accepted => self.announce_accepted(),
+            OfferResult::Stale if kind == ValueKind::Configuration => {
                 self.log_refusal(stamp, "older than the configuration in force")
             }
-            OfferVerdict::Older | OfferVerdict::Same | OfferVerdict::Held => {}
+            OfferResult::Stale | OfferResult::Same | OfferResult::Deferred => {}
         }
-        Some(verdict)
+        Some(result)
     }
 
     /// Logs that a value was refused, with the reason.
@@ -164,13 +164,13 @@
         self.events.record(EventKind::ConfigurationRefused { revision, index, reason: reason.into() });
     }
 
-    /// Releases values of the platform that were held back until peers answered; called once enough have.
+    /// Releases values of the platform that were deferred until peers answered; called once enough have.
     pub fn peers_answered(&self) {
         let mut inner = self.lock();
         let released = inner.configuration.peers_answered();
         inner.vm_list.peers_answered();
         drop(inner);
-        if released == Some(OfferVerdict::Accepted) {
+        if released == Some(OfferResult::Accepted) {
             self.announce_accepted();
         }
     }
@@ -178,7 +178,7 @@
     fn announce_accepted(&self) {
         let mut inner = self.lock();
         let stamps = inner.stamps();
-        let previous = inner.membership.me().stamp;
+        let previous = inner.membership.local_row().stamp;
         let actions = inner.membership.set_stamps(stamps);
         drop(inner);
         let Stamp { revision, index } = stamps.configuration;
@@ -197,9 +197,9 @@
             leaving: report.leaving,
         });
         let mut inner = self.lock();
-        let version = inner.membership.me().version;
+        let version = inner.membership.local_row().version;
         inner.membership.set_entry(row);
-        let changed = inner.membership.me().version != version;
+        let changed = inner.membership.local_row().version != version;
         let actions = if changed { inner.membership.announce() } else { Vec::new() };
         drop(inner);
         self.run_actions(actions);
@@ -212,7 +212,7 @@
     /// process restarts.
     pub fn leave(&self) {
         let mut inner = self.lock();
-        let entry_stays = inner.membership.me().entry.is_some_and(|entry| !entry.leaving);
+        let entry_stays = inner.membership.local_row().entry.is_some_and(|entry| !entry.leaving);
         let actions = if entry_stays { Vec::new() } else { inner.membership.leave() };
         drop(inner);
         self.run_actions(actions);
@@ -253,13 +253,13 @@
     fn send(&self, to: SocketAddr, message: &GossipMessage) {
         let Ok(bytes) = codec::encode(message) else { return };
         if self.socket.send_to(&bytes, to).is_ok() {
-            self.counters.record_sent(bytes.len() + codec::UDP_HEAD_BYTES);
+            self.counters.record_sent(bytes.len() + codec::IP_UDP_HEADER_BYTES);
         }
     }
 }
 
 impl Inner {
-    fn spread(&mut self, kind: ValueKind) -> &mut Spread {
+    fn replicated_value(&mut self, kind: ValueKind) -> &mut ReplicatedValue {
         match kind {
             ValueKind::Configuration => &mut self.configuration,
             ValueKind::VmList => &mut self.vm_list,
@@ -271,13 +271,13 @@
     }
 
     /// Returns the current configuration if it is newer than `stamp`.
-    pub fn newer_configuration(&self, stamp: Stamp) -> Option<Stored> {
-        self.configuration.held().filter(|stored| stored.stamp > stamp).cloned()
+    pub fn newer_configuration(&self, stamp: Stamp) -> Option<StampedValue> {
+        self.configuration.current().filter(|stamped| stamped.stamp > stamp).cloned()
     }
 
     /// Returns the current list of VMs if it is newer than `stamp`.
-    pub fn newer_vm_list(&self, stamp: Stamp) -> Option<Stored> {
-        self.vm_list.held().filter(|stored| stored.stamp > stamp).cloned()
+    pub fn newer_vm_list(&self, stamp: Stamp) -> Option<StampedValue> {
+        self.vm_list.current().filter(|stamped| stamped.stamp > stamp).cloned()
     }
 }
 
--- a/crates/pointvane-control/src/status.rs
+++ b/crates/pointvane-control/src/status.rs
@@ -29,7 +29,7 @@
     fn status(&self) -> ControlStatus {
         let inner = self.lock();
         ControlStatus {
-            incarnation: inner.membership.me().identity.incarnation,
+            incarnation: inner.membership.local_row().identity.incarnation,
             configuration: inner.configuration.stamp(),
             vm_list: inner.vm_list.stamp(),
             reads_platform: inner.reads_platform,
--- a/crates/pointvane-control/src/value.rs
+++ b/crates/pointvane-control/src/value.rs
@@ -2,7 +2,7 @@
 
 use {
     pointvane_config::unpack,
-    pointvane_mesh::{Stored, VmList},
+    pointvane_mesh::{StampedValue, VmList},
     std::net::SocketAddr,
 };
 
@@ -35,11 +35,11 @@
 }
 
 /// Whether a value can be parsed and, for a configuration, matches its digest and the revision of its stamp.
-pub fn is_valid(kind: ValueKind, stored: &Stored) -> bool {
+pub fn is_valid(kind: ValueKind, stamped: &StampedValue) -> bool {
     match kind {
         ValueKind::Configuration => {
-            unpack(&stored.value).is_ok_and(|packed| packed.configuration.revision == stored.stamp.revision)
+            unpack(&stamped.value).is_ok_and(|packed| packed.configuration.revision == stamped.stamp.revision)
         }
-        ValueKind::VmList => serde_json::from_slice::<VmList>(&stored.value).is_ok(),
+        ValueKind::VmList => serde_json::from_slice::<VmList>(&stamped.value).is_ok(),
     }
 }
--- a/crates/pointvane-core/src/backoff.rs
+++ b/crates/pointvane-core/src/backoff.rs
@@ -1,9 +1,9 @@
 //! Backoff from one upstream: from its `Retry-After` until it has run a request again.
 //!
-//! Both deployments check [`Backoff::blocks_sends`] when they select an upstream, and record each send and its
-//! result. Inputs: the requested backoff (`retry_after.rs`), the random delay that this process adds to it,
-//! and a monotonic clock that includes suspended time. Invariant: no request is sent before the end of any
-//! requested backoff (`tests/backoff.rs`).
+//! Both forms of pointvane (the node and the entry programs) check [`Backoff::blocks_sends`] when they select
+//! an upstream, and record each send and its result. Inputs: the requested backoff (`retry_after.rs`), the
+//! random delay that this process adds to it, and a monotonic clock that includes suspended time. Invariant:
+//! no request is sent before the end of any requested backoff (`tests/backoff.rs`).
 //!
 //! Processes that received a `Retry-After` at the same time would resume at the same time, before the
 //! upstream's load reports reveal them to each other. Each process therefore adds its own delay and resumes
--- a/crates/pointvane-core/src/hedge_schedule.rs
+++ b/crates/pointvane-core/src/hedge_schedule.rs
@@ -1,4 +1,5 @@
-//! Exponential schedule of the times at which a hedge of one request is considered. Both deployments use it.
+//! Exponential schedule of the times at which a hedge of one request is considered. Both forms of pointvane
+//! (the node and the entry programs) use it.
 //!
 //! As long as no hedge has been sent, it is considered again, because spare capacity and the hedge budget
 //! vary over time.
--- a/crates/pointvane-core/src/late_answer.rs
+++ b/crates/pointvane-core/src/late_answer.rs
@@ -1,12 +1,12 @@
 //! How long to wait for the response head of an abandoned attempt, whose headers carry the upstream's
 //! `Retry-After`, request limit and shutdown notices.
 //!
-//! Both deployments use this. An attempt is abandoned when its caller disconnects, its deadline passes or
-//! another attempt is answered first. Closing its connection cancels it at the upstream, but loses a response
-//! that is in transit. An upstream rejects a request either immediately or when the request times out in its
-//! queue, so the connection is kept open until such a rejection would have arrived. Inputs: the times of the
-//! send, the deadline and the abandonment, on one monotonic clock, and the time that the connection
-//! took to open, as the round-trip time. Tests: `tests/late_answer.rs`.
+//! Both forms of pointvane (the node and the entry programs) use this. An attempt is abandoned when its caller
+//! disconnects, its deadline passes or another attempt is answered first. Closing its connection cancels it at
+//! the upstream, but loses a response that is in transit. An upstream rejects a request either immediately or
+//! when the request times out in its queue, so the connection is kept open until such a rejection would have
+//! arrived. Inputs: the times of the send, the deadline and the abandonment, on one monotonic clock, and the
+//! time that the connection took to open, as the round-trip time. Tests: `tests/late_answer.rs`.
 
 use crate::US_PER_MS;
 
--- a/crates/pointvane-core/src/lib.rs
+++ b/crates/pointvane-core/src/lib.rs
@@ -1,9 +1,9 @@
 //! Shared types, units, error kinds and interface traits of pointvane.
 //!
-//! Modules by the deployment that uses them:
+//! Modules by the form of pointvane that uses them:
 //!
-//! - both deployments: `backoff`, `error`, `hedge_schedule`, `identity`, `late_answer`, `request_limit`,
-//!   `retry_after`, `token_bucket`
+//! - both forms of pointvane: `backoff`, `error`, `hedge_schedule`, `identity`, `late_answer`,
+//!   `request_limit`, `retry_after`, `token_bucket`
 //! - the separate entry, control and locate programs: `key`, `request`, `traits`
 //! - the node, which combines the roles in one program: `account`, `adapter`, `evacuation`, `published`,
 //!   `routing`, `routing_delta`
--- a/crates/pointvane-core/src/request_limit.rs
+++ b/crates/pointvane-core/src/request_limit.rs
@@ -1,9 +1,10 @@
 //! Distributed rate limit of an upstream: the requests per second that it accepts from all processes
 //! together, and the share of one process.
 //!
-//! Upstreams of the target platform advertise the limit in their responses. Both deployments check
-//! [`RequestLimit::blocks_sends`] when they select an upstream, and record sends and responses. Advertised rates are
-//! whole requests per 1000 seconds, so that they are compared and transmitted exactly.
+//! Upstreams of the target platform advertise the limit in their responses. Both forms of pointvane (the node
+//! and the entry programs) check [`RequestLimit::blocks_sends`] when they select an upstream, and record sends
+//! and responses. Advertised rates are whole requests per 1000 seconds, so that they are compared and
+//! transmitted exactly.
 //!
 //! No request waits for coordination between processes. All processes compute the same order of processes for
 //! an upstream. The first ones in it, as many as the limit has requests per second, use the upstream with
--- a/crates/pointvane-core/src/token_bucket.rs
+++ b/crates/pointvane-core/src/token_bucket.rs
@@ -1,5 +1,5 @@
-//! Token buckets that are refilled over time or explicitly. Both deployments budget retries and probes with
-//! them.
+//! Token buckets that are refilled over time or explicitly. Both forms of pointvane (the node
+//! and the entry programs) budget retries and probes with them.
 
 use crate::US_PER_S;
 
--- a/crates/pointvane-dispatch/tests/crash_fleet/mod.rs
+++ b/crates/pointvane-dispatch/tests/crash_fleet/mod.rs
@@ -487,5 +487,5 @@
 /// Size of a datagram in bytes, including IP and UDP headers.
 fn datagram_bytes(reports: &[SuspectReport]) -> usize {
     let message = QuarantineMessage::Reports(reports.to_vec());
-    codec::encode(&message).map_or(0, |bytes| bytes.len() + codec::UDP_HEAD_BYTES)
+    codec::encode(&message).map_or(0, |bytes| bytes.len() + codec::IP_UDP_HEADER_BYTES)
 }
--- a/crates/pointvane-dispatch/tests/state_queries.rs
+++ b/crates/pointvane-dispatch/tests/state_queries.rs
@@ -128,7 +128,7 @@
     let peer = reader_at(7, 3);
     for upstreams in [326, 2_999, 9_000, 12_000, 24_000] {
         let reply = peer.answer(&EMPTY_REQUEST, &ManyUpstreams(upstreams), 2 * MS).unwrap();
-        let bytes = codec::packed_frame(&reply).unwrap().len();
+        let bytes = codec::compressed_frame(&reply).unwrap().len();
         expect_that!(fits_reply_limit(bytes), eq(true), "{upstreams} upstreams, {bytes} bytes");
     }
     expect_that!(fits_reply_limit(1_500_000), eq(true));
@@ -146,20 +146,20 @@
 }
 
 #[gtest]
-fn a_packed_state_round_trips_and_garbage_is_rejected() {
+fn a_compressed_state_round_trips_and_garbage_is_rejected() {
     let reply = reader_at(7, 3).answer(&EMPTY_REQUEST, &ManyUpstreams(1_080), 2 * MS).unwrap();
-    let frame = codec::packed_frame(&reply).unwrap();
-    let unpacked: StateReply = codec::unpacked(&frame[4..]).unwrap();
-    expect_that!(codec::frame(&unpacked).unwrap(), eq(&codec::frame(&reply).unwrap()));
-    expect_that!(codec::unpacked::<StateReply>(&frame[5..]).is_err(), eq(true));
-    expect_that!(codec::unpacked::<StateReply>(&[]).is_err(), eq(true));
+    let frame = codec::compressed_frame(&reply).unwrap();
+    let decoded: StateReply = codec::decode_compressed(&frame[4..]).unwrap();
+    expect_that!(codec::encode_frame(&decoded).unwrap(), eq(&codec::encode_frame(&reply).unwrap()));
+    expect_that!(codec::decode_compressed::<StateReply>(&frame[5..]).is_err(), eq(true));
+    expect_that!(codec::decode_compressed::<StateReply>(&[]).is_err(), eq(true));
 }
 
 #[gtest]
 fn a_full_state_of_a_thousand_upstreams_is_small_and_few_are_sent_concurrently() {
     let peer = reader_at(7, 3);
     let reply = peer.answer(&EMPTY_REQUEST, &ManyUpstreams(1_080), 2 * MS).unwrap();
-    expect_that!(codec::frame(&reply).unwrap().len(), le(80_000));
+    expect_that!(codec::encode_frame(&reply).unwrap().len(), le(80_000));
     let mut limit = FullStateLimit::default();
     let accepted = (0..500).filter(|_| limit.begin()).count();
     expect_that!(accepted, eq(8));
--- a/crates/pointvane-entry/src/feed.rs
+++ b/crates/pointvane-entry/src/feed.rs
@@ -4,7 +4,7 @@
     crate::{entry::Entry, members::Members},
     pointvane_config::unpack,
     pointvane_feed::FeedHandler,
-    pointvane_mesh::{EntryReport, FeedRole, FeedUpdate, Stored},
+    pointvane_mesh::{EntryReport, FeedRole, FeedUpdate, StampedValue},
     pointvane_telemetry::EventKind,
 };
 
@@ -13,7 +13,7 @@
 
     fn update(&self, update: FeedUpdate) {
         match update {
-            FeedUpdate::Configuration(stored) => apply_configuration(self, &stored),
+            FeedUpdate::Configuration(stamped) => apply_configuration(self, &stamped),
             FeedUpdate::Members(rows) => self.set_members(Members::new(rows, &self.settings.vm.name)),
             FeedUpdate::VmList(list) => self.apply_vm_list(&list),
             FeedUpdate::Beat => {}
@@ -32,10 +32,10 @@
 
 /// Applies a configuration if it is newer than the current one. A control process that has restarted may send
 /// an older one.
-fn apply_configuration(entry: &Entry, stored: &Stored) {
-    let Ok(packed) = unpack(&stored.value) else { return };
-    let (revision, index) = (stored.stamp.revision, stored.stamp.index);
-    if !entry.advance(stored.stamp) {
+fn apply_configuration(entry: &Entry, stamped: &StampedValue) {
+    let Ok(packed) = unpack(&stamped.value) else { return };
+    let (revision, index) = (stamped.stamp.revision, stamped.stamp.index);
+    if !entry.advance(stamped.stamp) {
         return;
     }
     entry.configure(&packed.configuration);
--- a/crates/pointvane-entry/src/load_exchange.rs
+++ b/crates/pointvane-entry/src/load_exchange.rs
@@ -4,7 +4,8 @@
     crate::entry::Entry,
     pointvane_core::Clock,
     pointvane_mesh::{
-        LoadMessage, LoadReceiver, LoadSender, LoadSenderOptions, Rejected, ServiceLimits, ServiceLoad, codec,
+        LoadDatagramError, LoadMessage, LoadReceiver, LoadSender, LoadSenderOptions, ServiceLimits,
+        ServiceLoad, codec,
     },
     rand::seq::IteratorRandom,
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -46,12 +47,12 @@
     let now_us = entry.clock.now_us();
     let routes = entry.routes();
     sender.set_bytes_per_s(routes.control_bytes_per_s.saturating_sub(GOSSIP_RESERVE_BYTES_PER_S));
-    let fanout = sender.round_size(peers.len(), now_us);
+    let fanout = sender.round_recipients(peers.len(), now_us);
     if fanout == 0 {
         return;
     }
     let limits = collect_limits(entry);
-    let services = collect_observations(entry, sender.observations_max(), sender.rounds());
+    let services = collect_observations(entry, sender.observations_max(), sender.rounds_sent());
     if services.is_empty() && limits.is_empty() {
         return;
     }
@@ -62,7 +63,7 @@
     let targets = peers.iter().choose_multiple(&mut rand::rng(), fanout);
     for target in targets {
         if socket.send_to(&bytes, target).await.is_ok() {
-            entry.counters.load_sent(bytes.len() + codec::UDP_HEAD_BYTES);
+            entry.counters.load_sent(bytes.len() + codec::IP_UDP_HEADER_BYTES);
         }
     }
 }
@@ -83,10 +84,10 @@
 
 /// Collects load observations to send. Each round starts at the next service, so that one service cannot
 /// starve the others.
-fn collect_observations(entry: &Entry, observations_max: usize, rounds: u64) -> Vec<ServiceLoad> {
+fn collect_observations(entry: &Entry, observations_max: usize, rounds_sent: u64) -> Vec<ServiceLoad> {
     let routes = entry.routes();
     let count = routes.services.len();
-    let first = rounds as usize % count.max(1);
+    let first = rounds_sent as usize % count.max(1);
     let mut remaining = observations_max;
     let mut services = Vec::new();
     for position in (first..count).chain(0..first) {
@@ -118,9 +119,9 @@
         }
         match receiver.receive(source.ip(), &buffer[..length]) {
             Ok(message) => apply(&entry, &message),
-            Err(Rejected::Malformed) => entry.counters.load_dropped("malformed"),
-            Err(Rejected::Stranger) => entry.counters.load_dropped("stranger"),
-            Err(Rejected::Late) => entry.counters.load_dropped("late"),
+            Err(LoadDatagramError::Malformed) => entry.counters.load_dropped("malformed"),
+            Err(LoadDatagramError::UnknownSender) => entry.counters.load_dropped("stranger"),
+            Err(LoadDatagramError::Stale) => entry.counters.load_dropped("late"),
         }
     }
 }
--- a/crates/pointvane-locate/src/locate.rs
+++ b/crates/pointvane-locate/src/locate.rs
@@ -168,7 +168,7 @@
 
     fn update(&self, update: FeedUpdate) {
         match update {
-            FeedUpdate::Configuration(stored) => self.apply_configuration(&stored.value, stored.stamp),
+            FeedUpdate::Configuration(stamped) => self.apply_configuration(&stamped.value, stamped.stamp),
             FeedUpdate::Members(rows) => self.lock().members = rows,
             FeedUpdate::VmList(_) | FeedUpdate::Beat => {}
         }
@@ -188,7 +188,7 @@
 
     fn status(&self) -> LocateStatus {
         let feed_state = self.lock();
-        let usable = feed_state.members.iter().filter(|row| row.takes_callers());
+        let usable = feed_state.members.iter().filter(|row| row.accepts_callers());
         LocateStatus {
             configuration: feed_state.stamp,
             usable: usable.map(|row| row.identity.name.clone()).collect(),
--- a/crates/pointvane-mesh/src/codec.rs
+++ b/crates/pointvane-mesh/src/codec.rs
@@ -1,7 +1,7 @@
 //! Encoding of messages: a version byte followed by `postcard` data, in datagrams and frames of limited size.
 //!
 //! A frame on a stream is a 4-byte big-endian length followed by that many bytes of an encoded message. In a
-//! packed frame, these bytes are compressed with deflate, and the length is that of the compressed data.
+//! compressed frame, these bytes are compressed with deflate, and the length is that of the compressed data.
 
 use {
     miniz_oxide::{deflate::compress_to_vec, inflate::decompress_to_vec_with_limit},
@@ -21,7 +21,7 @@
 /// Deflate level: the fastest.
 const COMPRESSION_LEVEL: u8 = 1;
 /// Size of the IPv4 and UDP headers of a datagram, in bytes.
-pub const UDP_HEAD_BYTES: usize = 28;
+pub const IP_UDP_HEADER_BYTES: usize = 28;
 
 /// Reason why a message cannot be encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 /// [`CodecError::TooLong`] if the message exceeds [`FRAME_LIMIT_BYTES`].
-pub fn frame<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
+pub fn encode_frame<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     let bytes = encode_unbounded(message)?;
     if bytes.len() > FRAME_LIMIT_BYTES {
         return Err(CodecError::TooLong);
@@ -90,27 +90,27 @@
     Ok(frame)
 }
 
-/// Encodes a message as a packed (compressed) frame, length prefix included.
+/// Encodes a message as a compressed frame, length prefix included.
 ///
 /// # Errors
 /// [`CodecError::TooLong`] if the message exceeds [`FRAME_LIMIT_BYTES`] before or after compression.
-pub fn packed_frame<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
+pub fn compressed_frame<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     let bytes = encode_unbounded(message)?;
-    let packed = compress_to_vec(&bytes, COMPRESSION_LEVEL);
-    if bytes.len().max(packed.len()) > FRAME_LIMIT_BYTES {
+    let compressed = compress_to_vec(&bytes, COMPRESSION_LEVEL);
+    if bytes.len().max(compressed.len()) > FRAME_LIMIT_BYTES {
         return Err(CodecError::TooLong);
     }
-    let mut frame = (packed.len() as u32).to_be_bytes().to_vec();
-    frame.extend(packed);
+    let mut frame = (compressed.len() as u32).to_be_bytes().to_vec();
+    frame.extend(compressed);
     Ok(frame)
 }
 
-/// Decodes the message of a packed frame (without its length prefix), decompressing at most
+/// Decodes the message of a compressed frame (without its length prefix), decompressing at most
 /// [`FRAME_LIMIT_BYTES`].
 ///
 /// # Errors
 /// As [`decode`]; [`CodecError::Malformed`] also if decompression fails or exceeds the limit.
-pub fn unpacked<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
+pub fn decode_compressed<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     let bytes = decompress_to_vec_with_limit(bytes, FRAME_LIMIT_BYTES).map_err(|_| CodecError::Malformed)?;
     decode(&bytes)
 }
@@ -124,15 +124,15 @@
     if length > FRAME_LIMIT_BYTES { Err(CodecError::TooLong) } else { Ok(length) }
 }
 
-/// Writes a message as one frame (not packed).
+/// Writes a message as one frame (not compressed).
 ///
 /// # Errors
 /// Errors of the stream, or `InvalidData` for a message above [`FRAME_LIMIT_BYTES`].
 pub fn write_frame<T: Serialize>(stream: &mut impl Write, message: &T) -> io::Result<()> {
-    stream.write_all(&frame(message).map_err(invalid_data)?)
+    stream.write_all(&encode_frame(message).map_err(invalid_data)?)
 }
 
-/// Reads one frame (not packed) and decodes its message.
+/// Reads one frame (not compressed) and decodes its message.
 ///
 /// # Errors
 /// Errors of the stream, or `InvalidData` for a frame that is too long or does not decode as a `T`.
--- a/crates/pointvane-mesh/src/feed.rs
+++ b/crates/pointvane-mesh/src/feed.rs
@@ -2,7 +2,7 @@
 //! address.
 
 use {
-    crate::{member::MemberRow, spread::Stored},
+    crate::{member::MemberRow, replication::StampedValue},
     pointvane_core::{Incarnation, Name},
     serde::{Deserialize, Serialize},
 };
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedUpdate {
     /// The configuration that applies from now on.
-    Configuration(Stored),
+    Configuration(StampedValue),
     /// Rows of all members; replaces the previous ones.
     Members(Vec<MemberRow>),
     /// The platform's list of VMs; replaces the previous one.
--- a/crates/pointvane-mesh/src/lib.rs
+++ b/crates/pointvane-mesh/src/lib.rs
@@ -13,17 +13,17 @@
 mod membership;
 mod message;
 mod rendezvous;
-mod spread;
+mod replication;
 
 pub use {
     feed::{EntryReport, FeedHello, FeedRole, FeedUpdate, ListedVm, VmList},
     load::{
-        LoadDatagram, LoadMessage, LoadReceiver, LoadSender, LoadSenderOptions, Rejected, ServiceLimits,
-        ServiceLoad,
+        LoadDatagram, LoadDatagramError, LoadMessage, LoadReceiver, LoadSender, LoadSenderOptions,
+        ServiceLimits, ServiceLoad,
     },
     member::{EntryRow, Member, MemberRow, Precedence},
     membership::{Action, MemberChange, Membership, MembershipOptions},
     message::{GossipMessage, Payload, PeerAnswer, PeerRequest, Stamps},
     rendezvous::{choose_readers, home_vms, rank},
-    spread::{Offer, OfferVerdict, Spread, SpreadAction, Stamp, Stored},
+    replication::{Offer, OfferResult, ReplicatedValue, ReplicationAction, Stamp, StampedValue},
 };
--- a/crates/pointvane-mesh/src/load.rs
+++ b/crates/pointvane-mesh/src/load.rs
@@ -2,7 +2,7 @@
 //! sender, which keeps to a bandwidth budget, and its receiver.
 
 use {
-    crate::codec::{self, CodecError, UDP_HEAD_BYTES},
+    crate::codec::{self, CodecError, IP_UDP_HEADER_BYTES},
     pointvane_core::{Incarnation, Observation, ObservedLimit, US_PER_MS, US_PER_S},
     serde::{Deserialize, Serialize},
     std::{collections::HashMap, net::IpAddr},
@@ -121,7 +121,7 @@
     }
 
     /// Number of rounds sent so far.
-    pub fn rounds(&self) -> u64 {
+    pub fn rounds_sent(&self) -> u64 {
         self.sequence
     }
 
@@ -132,7 +132,7 @@
 
     /// Number of peers, out of `peers`, that a round may be sent to now; 0 while the budget or the minimum
     /// interval forbids a round.
-    pub fn round_size(&mut self, peers: usize, now_us: u64) -> usize {
+    pub fn round_recipients(&mut self, peers: usize, now_us: u64) -> usize {
         let rate = f64::from(self.options.bytes_per_s);
         let elapsed_us = now_us.saturating_sub(self.refilled_at_us);
         self.refilled_at_us = now_us;
@@ -141,7 +141,7 @@
         let too_early =
             now_us.saturating_sub(self.last_round_at_us) < self.options.interval_min_ms * US_PER_MS;
         let recipients = peers.min(self.options.peers_max);
-        let cost_bytes = (recipients * (self.datagram_bytes + UDP_HEAD_BYTES)) as f64;
+        let cost_bytes = (recipients * (self.datagram_bytes + IP_UDP_HEADER_BYTES)) as f64;
         if too_early || self.budget_bytes < cost_bytes.min(burst_bytes) { 0 } else { recipients }
     }
 
@@ -161,7 +161,7 @@
         let load = LoadDatagram { incarnation, sequence, revision, requests, services };
         let bytes = LoadMessage { load, limits }.encode().ok()?;
         self.datagram_bytes = bytes.len();
-        self.budget_bytes -= (peers * (bytes.len() + UDP_HEAD_BYTES)) as f64;
+        self.budget_bytes -= (peers * (bytes.len() + IP_UDP_HEADER_BYTES)) as f64;
         self.last_round_at_us = now_us;
         Some(bytes)
     }
@@ -169,13 +169,13 @@
 
 /// Reason why a load datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rejected {
+pub enum LoadDatagramError {
     /// The bytes are not a load datagram of this protocol version.
     Malformed,
     /// The sender is not a member.
-    Stranger,
+    UnknownSender,
     /// The datagram is of an earlier incarnation, a duplicate, or older than one already received.
-    Late,
+    Stale,
 }
 
 #[derive(Debug, Default)]
@@ -204,13 +204,13 @@
     ///
     /// # Errors
     /// The reason why the datagram was dropped.
-    pub fn receive(&mut self, from: IpAddr, bytes: &[u8]) -> Result<LoadMessage, Rejected> {
-        let message = LoadMessage::decode(bytes).map_err(|_| Rejected::Malformed)?;
+    pub fn receive(&mut self, from: IpAddr, bytes: &[u8]) -> Result<LoadMessage, LoadDatagramError> {
+        let message = LoadMessage::decode(bytes).map_err(|_| LoadDatagramError::Malformed)?;
         let datagram = &message.load;
-        let peer = self.peers.get_mut(&from).ok_or(Rejected::Stranger)?;
+        let peer = self.peers.get_mut(&from).ok_or(LoadDatagramError::UnknownSender)?;
         let newer = (datagram.incarnation, datagram.sequence) > (peer.incarnation, peer.sequence);
         if !newer {
-            return Err(Rejected::Late);
+            return Err(LoadDatagramError::Stale);
         }
         peer.incarnation = datagram.incarnation;
         peer.sequence = datagram.sequence;
--- a/crates/pointvane-mesh/src/member.rs
+++ b/crates/pointvane-mesh/src/member.rs
@@ -1,7 +1,7 @@
 //! State of one VM of the fleet as exchanged between members, and the precedence of such states.
 
 use {
-    crate::spread::Stamp,
+    crate::replication::Stamp,
     pointvane_core::{Incarnation, VmIdentity, VmState},
     serde::{Deserialize, Serialize},
     std::{cmp::Ordering, net::SocketAddr},
@@ -69,7 +69,7 @@
     }
 
     /// Whether new callers may be sent to its entry process.
-    pub fn takes_callers(&self) -> bool {
+    pub fn accepts_callers(&self) -> bool {
         self.state == VmState::Live && self.entry.is_some_and(|entry| !entry.leaving)
     }
 }
--- a/crates/pointvane-mesh/src/membership.rs
+++ b/crates/pointvane-mesh/src/membership.rs
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct Membership {
     options: MembershipOptions,
-    me: MemberRow,
+    local_row: MemberRow,
     stamps: Stamps,
     members: BTreeMap<Name, Member>,
     pending_ping: Option<PendingPing>,
@@ -84,12 +84,12 @@
 }
 
 impl Membership {
-    /// Creates the state of a process that knows no other member; `me` is its own row, `seed` seeds its
+    /// Creates the state of a process that knows no other member; `local_row` is its own row, `seed` seeds its
     /// random numbers.
-    pub fn new(options: MembershipOptions, me: MemberRow, seed: u64, now_us: u64) -> Self {
+    pub fn new(options: MembershipOptions, local_row: MemberRow, seed: u64, now_us: u64) -> Self {
         Self {
             options,
-            me,
+            local_row,
             stamps: Stamps::default(),
             members: BTreeMap::new(),
             pending_ping: None,
@@ -103,23 +103,23 @@
     }
 
     /// This process's own row.
-    pub fn me(&self) -> &MemberRow {
-        &self.me
+    pub fn local_row(&self) -> &MemberRow {
+        &self.local_row
     }
 
     /// All rows, this process's own first.
     pub fn rows(&self) -> impl Iterator<Item = &MemberRow> {
-        std::iter::once(&self.me).chain(self.members.values().map(|member| &member.row))
+        std::iter::once(&self.local_row).chain(self.members.values().map(|member| &member.row))
     }
 
     /// Sets the state of this VM's entry process. A change of its incarnation or of `leaving` raises the
     /// row's version.
     pub fn set_entry(&mut self, entry: Option<EntryRow>) {
-        let (before, after) = (self.me.entry, entry);
-        self.me.entry = entry;
+        let (before, after) = (self.local_row.entry, entry);
+        self.local_row.entry = entry;
         let versioned = |row: Option<EntryRow>| row.map(|row| (row.incarnation, row.leaving));
         if versioned(before) != versioned(after) {
-            self.me.version += 1;
+            self.local_row.version += 1;
         }
     }
 
@@ -129,14 +129,14 @@
             return Vec::new();
         }
         self.stamps = stamps;
-        self.me.stamp = stamps.configuration;
+        self.local_row.stamp = stamps.configuration;
         self.announce()
     }
 
     /// Announces that this VM is leaving.
     pub fn leave(&mut self) -> Vec<Action> {
-        self.me.state = VmState::Leaving;
-        self.me.version += 1;
+        self.local_row.state = VmState::Leaving;
+        self.local_row.version += 1;
         self.announce()
     }
 
--- a/crates/pointvane-mesh/src/membership/dissemination.rs
+++ b/crates/pointvane-mesh/src/membership/dissemination.rs
@@ -50,7 +50,7 @@
             member.row.clone()
         });
         let rows = first.into_iter().chain(rows).collect();
-        let mut message = GossipMessage { from: self.me.clone(), stamps: self.stamps, payload, rows };
+        let mut message = GossipMessage { from: self.local_row.clone(), stamps: self.stamps, payload, rows };
         while codec::encode(&message).is_err() && message.rows.pop().is_some() {}
         Action::Send { to, message: Box::new(message) }
     }
--- a/crates/pointvane-mesh/src/membership/expiry.rs
+++ b/crates/pointvane-mesh/src/membership/expiry.rs
@@ -48,7 +48,7 @@
         }
         let dead = self.members.values().filter(|member| member.row.state == VmState::Dead);
         let dead = dead.map(|member| member.row.control_address());
-        let own_address = self.me.control_address();
+        let own_address = self.local_row.control_address();
         let is_alive = |seed: &SocketAddr| {
             let alive = self.members.values().filter(|member| member.row.state != VmState::Dead);
             alive.map(|member| member.row.control_address()).any(|address| address == *seed)
--- a/crates/pointvane-mesh/src/membership/merge.rs
+++ b/crates/pointvane-mesh/src/membership/merge.rs
@@ -12,7 +12,7 @@
     /// Merges a received row: adds an unknown member that is not dead, or replaces a row of lower precedence.
     /// A row about this process is refuted if it is wrong.
     pub(super) fn merge_row(&mut self, row: &MemberRow, now_us: u64, actions: &mut Vec<Action>) {
-        if row.identity.name == self.me.identity.name {
+        if row.identity.name == self.local_row.identity.name {
             if self.refute(row) {
                 actions.extend(self.announce());
             }
@@ -61,26 +61,26 @@
     /// Refutes a wrong row about this process by raising its own version or incarnation; returns whether it
     /// was wrong.
     pub(super) fn refute(&mut self, row: &MemberRow) -> bool {
-        if row.identity.incarnation > self.me.identity.incarnation {
+        if row.identity.incarnation > self.local_row.identity.incarnation {
             // The wall clock, which incarnations are taken from, was set back before the restart. Without a
             // higher incarnation, all other members would ignore this process.
-            self.me.identity.incarnation = Incarnation(row.identity.incarnation.0 + 1);
-            self.me.version += 1;
+            self.local_row.identity.incarnation = Incarnation(row.identity.incarnation.0 + 1);
+            self.local_row.version += 1;
             return true;
         }
-        let same_incarnation = row.identity.incarnation == self.me.identity.incarnation;
+        let same_incarnation = row.identity.incarnation == self.local_row.identity.incarnation;
         // A suspicion of a lower version is already overridden; `Dead` overrides every version of this
         // incarnation.
         let is_wrong = match row.state {
-            VmState::Suspect => row.version >= self.me.version,
+            VmState::Suspect => row.version >= self.local_row.version,
             VmState::Dead => true,
             VmState::Live | VmState::Leaving => false,
         };
         if same_incarnation && is_wrong {
-            self.me.version = self.me.version.max(row.version) + 1;
+            self.local_row.version = self.local_row.version.max(row.version) + 1;
             if row.state == VmState::Dead {
                 // `Dead` cannot be refuted within an incarnation, so continue with the next one.
-                self.me.identity.incarnation.0 += 1;
+                self.local_row.identity.incarnation.0 += 1;
             }
         }
         same_incarnation && is_wrong
--- a/crates/pointvane-mesh/src/message.rs
+++ b/crates/pointvane-mesh/src/message.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         member::MemberRow,
-        spread::{Stamp, Stored},
+        replication::{Stamp, StampedValue},
     },
     pointvane_core::Name,
     serde::{Deserialize, Serialize},
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAnswer {
     /// The requested value, if the process holds one.
-    Value(Option<Stored>),
+    Value(Option<StampedValue>),
     /// All rows of the process.
     Rows(Vec<MemberRow>),
 }
--- a/crates/pointvane-mesh/src/rendezvous.rs
+++ b/crates/pointvane-mesh/src/rendezvous.rs
@@ -12,10 +12,10 @@
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Rank of a VM for a subject, such as a key or service; the same in every process and build. Higher ranks
-/// are chosen first.
-pub fn rank(subject: &str, vm: &Name) -> u64 {
-    let bytes = subject.bytes().chain([0]).chain(vm.as_str().bytes());
+/// Rank of a VM for a hash key, such as a platform key or a service; the same in every process and build.
+/// Higher ranks are chosen first.
+pub fn rank(hash_key: &str, vm: &Name) -> u64 {
+    let bytes = hash_key.bytes().chain([0]).chain(vm.as_str().bytes());
     let hash = bytes.fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
     splitmix64_finalizer(hash)
 }
@@ -48,7 +48,7 @@
     rows: impl Iterator<Item = &'a MemberRow>,
     count: usize,
 ) -> Vec<&'a MemberRow> {
-    let mut usable: Vec<_> = rows.filter(|row| row.takes_callers()).collect();
+    let mut usable: Vec<_> = rows.filter(|row| row.accepts_callers()).collect();
     if count == 0 || count >= usable.len() {
         return usable;
     }
--- a/crates/pointvane-mesh/src/spread.rs
+++ b/crates/pointvane-mesh/src/replication.rs
@@ -22,7 +22,7 @@
 
 /// A published value with its stamp.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StampedValue {
     /// The value's stamp.
     pub stamp: Stamp,
     /// The value's bytes as published.
@@ -33,27 +33,27 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Offer {
     /// The value was read from the platform.
-    Platform(Stored),
+    Platform(StampedValue),
     /// The value was fetched from a peer.
-    Peer(Stored),
+    Peer(StampedValue),
 }
 
 /// Result of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OfferVerdict {
+pub enum OfferResult {
     /// The value is in force from now on.
     Accepted,
     /// The value has the stamp of the one in force.
     Same,
     /// The value is older than the one in force, and was rejected.
-    Older,
+    Stale,
     /// The value came from the platform before the peers were queried, and is deferred until then.
-    Held,
+    Deferred,
 }
 
 /// An action for the caller of the state machine to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SpreadAction {
+pub enum ReplicationAction {
     /// Fetch the value from this peer.
     Fetch(SocketAddr),
 }
@@ -65,21 +65,21 @@
 
 /// Replication state of one value in one process.
 #[derive(Debug)]
-pub struct Spread {
-    held: Option<Stored>,
-    deferred: Option<Stored>,
+pub struct ReplicatedValue {
+    current: Option<StampedValue>,
+    deferred: Option<StampedValue>,
     requested: Stamp,
     fetch_started_at_us: Option<u64>,
     started_at_us: u64,
     peers_queried: bool,
 }
 
-impl Spread {
+impl ReplicatedValue {
     /// Creates the state of a new process without a value, which queries its peers before it accepts the
     /// platform's value.
     pub fn new(now_us: u64) -> Self {
         Self {
-            held: None,
+            current: None,
             deferred: None,
             requested: Stamp::default(),
             fetch_started_at_us: None,
@@ -89,18 +89,23 @@
     }
 
     /// The value in force.
-    pub fn held(&self) -> Option<&Stored> {
-        self.held.as_ref()
+    pub fn current(&self) -> Option<&StampedValue> {
+        self.current.as_ref()
     }
 
     /// The stamp of the value in force; the default if there is none.
     pub fn stamp(&self) -> Stamp {
-        self.held.as_ref().map_or_else(Stamp::default, |stored| stored.stamp)
+        self.current.as_ref().map_or_else(Stamp::default, |stamped| stamped.stamp)
     }
 
     /// Handles the stamp of the value that a peer holds, and returns a fetch if it is newer than the value in
     /// force and not being fetched already. `from` is the address that the value can be fetched from.
-    pub fn heard(&mut self, stamp: Stamp, from: SocketAddr, now_us: u64) -> Option<SpreadAction> {
+    pub fn observe_stamp(
+        &mut self,
+        stamp: Stamp,
+        from: SocketAddr,
+        now_us: u64,
+    ) -> Option<ReplicationAction> {
         if stamp <= self.stamp() {
             return None;
         }
@@ -111,30 +116,30 @@
         }
         self.requested = stamp;
         self.fetch_started_at_us = Some(now_us);
-        Some(SpreadAction::Fetch(from))
+        Some(ReplicationAction::Fetch(from))
     }
 
     /// Records that enough peers have answered, and applies a deferred value; returns its result if there was
     /// one.
-    pub fn peers_answered(&mut self) -> Option<OfferVerdict> {
+    pub fn peers_answered(&mut self) -> Option<OfferResult> {
         self.peers_queried = true;
         self.apply_deferred()
     }
 
     /// Applies a received value, or defers it if it came from the platform before the peers were queried.
-    pub fn offer(&mut self, offer: Offer, now_us: u64) -> OfferVerdict {
+    pub fn offer(&mut self, offer: Offer, now_us: u64) -> OfferResult {
         match offer {
-            Offer::Peer(stored) => self.apply(stored),
-            Offer::Platform(stored) if self.accepts_platform(now_us) => self.apply(stored),
-            Offer::Platform(stored) => {
-                self.deferred = Some(stored);
-                OfferVerdict::Held
+            Offer::Peer(stamped) => self.apply(stamped),
+            Offer::Platform(stamped) if self.accepts_platform(now_us) => self.apply(stamped),
+            Offer::Platform(stamped) => {
+                self.deferred = Some(stamped);
+                OfferResult::Deferred
             }
         }
     }
 
     /// Applies a deferred value once the time to wait for peers is over; returns its result if there was one.
-    pub fn tick(&mut self, now_us: u64) -> Option<OfferVerdict> {
+    pub fn tick(&mut self, now_us: u64) -> Option<OfferResult> {
         if self.accepts_platform(now_us) { self.apply_deferred() } else { None }
     }
 
@@ -142,20 +147,20 @@
         self.peers_queried || now_us.saturating_sub(self.started_at_us) >= PEER_QUERY_TIMEOUT_US
     }
 
-    fn apply_deferred(&mut self) -> Option<OfferVerdict> {
-        let stored = self.deferred.take()?;
-        Some(self.apply(stored))
+    fn apply_deferred(&mut self) -> Option<OfferResult> {
+        let stamped = self.deferred.take()?;
+        Some(self.apply(stamped))
     }
 
-    fn apply(&mut self, stored: Stored) -> OfferVerdict {
-        let held = self.held.as_ref().map(|held| held.stamp);
-        match held.map_or(std::cmp::Ordering::Greater, |held| stored.stamp.cmp(&held)) {
-            std::cmp::Ordering::Less => OfferVerdict::Older,
-            std::cmp::Ordering::Equal => OfferVerdict::Same,
+    fn apply(&mut self, stamped: StampedValue) -> OfferResult {
+        let current = self.current.as_ref().map(|current| current.stamp);
+        match current.map_or(std::cmp::Ordering::Greater, |current| stamped.stamp.cmp(&current)) {
+            std::cmp::Ordering::Less => OfferResult::Stale,
+            std::cmp::Ordering::Equal => OfferResult::Same,
             std::cmp::Ordering::Greater => {
-                self.held = Some(stored);
+                self.current = Some(stamped);
                 self.fetch_started_at_us = None;
-                OfferVerdict::Accepted
+                OfferResult::Accepted
             }
         }
     }
--- a/crates/pointvane-mesh/tests/membership.rs
+++ b/crates/pointvane-mesh/tests/membership.rs
@@ -1,11 +1,11 @@
 //! Membership of simulated fleets: failures, pauses, network partitions, datagram loss, and bandwidth.
 
-mod many;
+mod simulation;
 
 use {
     googletest::prelude::*,
-    many::{MeshSimulation, TICK_US},
     pointvane_core::VmState,
+    simulation::{MeshSimulation, TICK_US},
 };
 
 const TICKS_PER_S: usize = (1_000_000 / TICK_US) as usize;
--- a/crates/pointvane-mesh/tests/messages.rs
+++ b/crates/pointvane-mesh/tests/messages.rs
@@ -4,8 +4,9 @@
     googletest::prelude::*,
     pointvane_core::{Incarnation, Observation},
     pointvane_mesh::{
-        FeedUpdate, GossipMessage, LoadDatagram, LoadReceiver, LoadSender, LoadSenderOptions, Offer,
-        OfferVerdict, PeerAnswer, Rejected, ServiceLoad, Spread, SpreadAction, Stamp, Stored, codec,
+        FeedUpdate, GossipMessage, LoadDatagram, LoadDatagramError, LoadReceiver, LoadSender,
+        LoadSenderOptions, Offer, OfferResult, PeerAnswer, ReplicatedValue, ReplicationAction, ServiceLoad,
+        Stamp, StampedValue, codec,
     },
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
     std::net::{IpAddr, SocketAddr},
@@ -13,8 +14,8 @@
 
 const S_US: u64 = 1_000_000;
 
-fn stored(revision: u64, index: u64) -> Stored {
-    Stored { stamp: Stamp { revision, index }, value: vec![revision as u8] }
+fn stamped(revision: u64, index: u64) -> StampedValue {
+    StampedValue { stamp: Stamp { revision, index }, value: vec![revision as u8] }
 }
 
 fn peer() -> SocketAddr {
@@ -23,38 +24,41 @@
 
 #[gtest]
 fn the_larger_revision_wins_then_the_later_write() {
-    let mut spread = Spread::new(0);
+    let mut replicated = ReplicatedValue::new(0);
     let now_us = 10 * S_US;
-    expect_that!(spread.offer(Offer::Platform(stored(5, 10)), now_us), eq(OfferVerdict::Accepted));
-    expect_that!(spread.offer(Offer::Platform(stored(4, 11)), now_us), eq(OfferVerdict::Older));
-    expect_that!(spread.offer(Offer::Peer(stored(5, 9)), now_us), eq(OfferVerdict::Older));
-    expect_that!(spread.offer(Offer::Peer(stored(5, 12)), now_us), eq(OfferVerdict::Accepted));
-    expect_that!(spread.offer(Offer::Platform(stored(6, 1)), now_us), eq(OfferVerdict::Accepted));
+    expect_that!(replicated.offer(Offer::Platform(stamped(5, 10)), now_us), eq(OfferResult::Accepted));
+    expect_that!(replicated.offer(Offer::Platform(stamped(4, 11)), now_us), eq(OfferResult::Stale));
+    expect_that!(replicated.offer(Offer::Peer(stamped(5, 9)), now_us), eq(OfferResult::Stale));
+    expect_that!(replicated.offer(Offer::Peer(stamped(5, 12)), now_us), eq(OfferResult::Accepted));
+    expect_that!(replicated.offer(Offer::Platform(stamped(6, 1)), now_us), eq(OfferResult::Accepted));
 }
 
 #[gtest]
 fn a_new_process_queries_its_peers_before_it_accepts_the_platforms_value() {
-    let mut spread = Spread::new(0);
-    expect_that!(spread.offer(Offer::Platform(stored(1, 1)), 10), eq(OfferVerdict::Held));
-    expect_that!(spread.offer(Offer::Peer(stored(3, 3)), 20), eq(OfferVerdict::Accepted));
-    expect_that!(spread.peers_answered(), some(eq(OfferVerdict::Older)));
-    expect_that!(spread.stamp().revision, eq(3));
+    let mut replicated = ReplicatedValue::new(0);
+    expect_that!(replicated.offer(Offer::Platform(stamped(1, 1)), 10), eq(OfferResult::Deferred));
+    expect_that!(replicated.offer(Offer::Peer(stamped(3, 3)), 20), eq(OfferResult::Accepted));
+    expect_that!(replicated.peers_answered(), some(eq(OfferResult::Stale)));
+    expect_that!(replicated.stamp().revision, eq(3));
     // If no peer answers, the platform's value is accepted after a timeout.
-    let mut without_peers = Spread::new(0);
-    without_peers.offer(Offer::Platform(stored(1, 1)), 10);
+    let mut without_peers = ReplicatedValue::new(0);
+    without_peers.offer(Offer::Platform(stamped(1, 1)), 10);
     expect_that!(without_peers.tick(S_US), none());
-    expect_that!(without_peers.tick(2 * S_US), some(eq(OfferVerdict::Accepted)));
+    expect_that!(without_peers.tick(2 * S_US), some(eq(OfferResult::Accepted)));
 }
 
 #[gtest]
 fn a_newer_stamp_is_fetched_once_and_retried_if_unanswered() {
-    let mut spread = Spread::new(0);
+    let mut replicated = ReplicatedValue::new(0);
     let stamp = Stamp { revision: 2, index: 2 };
-    expect_that!(spread.heard(stamp, peer(), S_US), some(eq(SpreadAction::Fetch(peer()))));
-    expect_that!(spread.heard(stamp, peer(), S_US + 1), none());
-    expect_that!(spread.heard(stamp, peer(), 2 * S_US), some(eq(SpreadAction::Fetch(peer()))));
-    spread.offer(Offer::Peer(stored(2, 2)), 2 * S_US);
-    expect_that!(spread.heard(stamp, peer(), 9 * S_US), none());
+    expect_that!(replicated.observe_stamp(stamp, peer(), S_US), some(eq(ReplicationAction::Fetch(peer()))));
+    expect_that!(replicated.observe_stamp(stamp, peer(), S_US + 1), none());
+    expect_that!(
+        replicated.observe_stamp(stamp, peer(), 2 * S_US),
+        some(eq(ReplicationAction::Fetch(peer())))
+    );
+    replicated.offer(Offer::Peer(stamped(2, 2)), 2 * S_US);
+    expect_that!(replicated.observe_stamp(stamp, peer(), 9 * S_US), none());
 }
 
 fn datagram(incarnation: u64, sequence: u64) -> Vec<u8> {
@@ -68,14 +72,14 @@
 fn late_and_repeated_datagrams_and_those_of_earlier_incarnations_are_dropped() {
     let from: IpAddr = "10.0.0.2".parse().unwrap();
     let mut receiver = LoadReceiver::default();
-    expect_that!(receiver.receive(from, &datagram(5, 1)), err(eq(&Rejected::Stranger)));
+    expect_that!(receiver.receive(from, &datagram(5, 1)), err(eq(&LoadDatagramError::UnknownSender)));
     receiver.set_members(&[from]);
     expect_that!(receiver.receive(from, &datagram(5, 7)), ok(anything()));
-    expect_that!(receiver.receive(from, &datagram(5, 7)), err(eq(&Rejected::Late)));
-    expect_that!(receiver.receive(from, &datagram(5, 6)), err(eq(&Rejected::Late)));
+    expect_that!(receiver.receive(from, &datagram(5, 7)), err(eq(&LoadDatagramError::Stale)));
+    expect_that!(receiver.receive(from, &datagram(5, 6)), err(eq(&LoadDatagramError::Stale)));
     expect_that!(receiver.receive(from, &datagram(6, 1)), ok(anything()));
-    expect_that!(receiver.receive(from, &datagram(5, 99)), err(eq(&Rejected::Late)));
-    expect_that!(receiver.receive(from, &[9, 9, 9]), err(eq(&Rejected::Malformed)));
+    expect_that!(receiver.receive(from, &datagram(5, 99)), err(eq(&LoadDatagramError::Stale)));
+    expect_that!(receiver.receive(from, &[9, 9, 9]), err(eq(&LoadDatagramError::Malformed)));
 }
 
 #[gtest]
@@ -87,14 +91,14 @@
         let mut bytes = 0;
         for now_ms in 0..10_000 {
             let now_us = now_ms * 1_000;
-            let round = sender.round_size(peers, now_us);
-            if round == 0 {
+            let recipients = sender.round_recipients(peers, now_us);
+            if recipients == 0 {
                 continue;
             }
             let observation = Observation { position: 300, requests: 400, leaving: false, age_ms: 500 };
             let services = vec![ServiceLoad { position: 1, observations: vec![observation; 12] }];
-            let datagram = sender.next_datagram(1, 9, (services, Vec::new()), round, now_us).unwrap();
-            bytes += (round * (datagram.len() + codec::UDP_HEAD_BYTES)) as u64;
+            let datagram = sender.next_datagram(1, 9, (services, Vec::new()), recipients, now_us).unwrap();
+            bytes += (recipients * (datagram.len() + codec::IP_UDP_HEADER_BYTES)) as u64;
         }
         // Allows for the token bucket (a fifth of a second's budget) and for one round of underestimated
         // size.
@@ -119,13 +123,13 @@
 
     #[test]
     fn no_order_of_offers_makes_a_process_revert(stamps in vec((1..6_u64, 1..6_u64, any::<bool>()), 1..40)) {
-        let mut spread = Spread::new(0);
-        let mut held = Stamp::default();
+        let mut replicated = ReplicatedValue::new(0);
+        let mut current = Stamp::default();
         for (revision, index, from_peer) in stamps {
-            let value = stored(revision, index);
-            spread.offer(if from_peer { Offer::Peer(value) } else { Offer::Platform(value) }, 10 * S_US);
-            prop_assert!(spread.stamp() >= held);
-            held = spread.stamp();
+            let value = stamped(revision, index);
+            replicated.offer(if from_peer { Offer::Peer(value) } else { Offer::Platform(value) }, 10 * S_US);
+            prop_assert!(replicated.stamp() >= current);
+            current = replicated.stamp();
         }
     }
 }
--- a/crates/pointvane-mesh/tests/model.rs
+++ b/crates/pointvane-mesh/tests/model.rs
@@ -155,7 +155,7 @@
 
 /// Guards of configuration replication; the model can drop each of them.
 #[derive(Clone, Copy)]
-struct SpreadGuards {
+struct ReplicationGuards {
     /// A value replaces only an older one.
     order: bool,
     /// A new process accepts the platform's value only after a peer, if one is up, has answered with the
@@ -168,7 +168,7 @@
 const RESTARTS: u8 = 2;
 
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct SpreadState {
+struct ReplicationState {
     published: u8,
     /// The revision that the platform answers with: the published one, or an older one while the platform is
     /// stale.
@@ -181,8 +181,8 @@
     took_stale: bool,
 }
 
-fn spread_start() -> SpreadState {
-    SpreadState {
+fn replication_start() -> ReplicationState {
+    ReplicationState {
         published: 1,
         answered: 1,
         held: [1; NODES],
@@ -193,13 +193,13 @@
     }
 }
 
-fn spread_successors(state: &SpreadState, guards: SpreadGuards) -> Vec<SpreadState> {
+fn replication_successors(state: &ReplicationState, guards: ReplicationGuards) -> Vec<ReplicationState> {
     let mut next = Vec::new();
     if state.published < REVISIONS {
-        next.push(SpreadState { published: state.published + 1, ..state.clone() });
+        next.push(ReplicationState { published: state.published + 1, ..state.clone() });
     }
     // The platform may answer with any revision that was ever published.
-    next.extend((1..=state.published).map(|answered| SpreadState { answered, ..state.clone() }));
+    next.extend((1..=state.published).map(|answered| ReplicationState { answered, ..state.clone() }));
     for node in 0..NODES {
         let others = (0..NODES).filter(|&other| other != node);
         let newest_elsewhere = others.clone().map(|other| state.held[other]).max().unwrap_or(0);
@@ -218,7 +218,7 @@
             next.push(queried);
         }
         if state.restarts > 0 {
-            let mut restarted = SpreadState { restarts: state.restarts - 1, ..state.clone() };
+            let mut restarted = ReplicationState { restarts: state.restarts - 1, ..state.clone() };
             (restarted.held[node], restarted.queried[node]) = (0, false);
             next.push(restarted);
         }
@@ -226,7 +226,7 @@
     next
 }
 
-fn take(state: &SpreadState, guards: SpreadGuards, node: usize, revision: u8) -> SpreadState {
+fn take(state: &ReplicationState, guards: ReplicationGuards, node: usize, revision: u8) -> ReplicationState {
     let mut taken = state.clone();
     let held = state.held[node];
     if revision > held || (!guards.order && revision > 0) {
@@ -237,26 +237,26 @@
 }
 
 /// Searches the state space; returns the number of states visited and whether one violates the invariant.
-fn search_spread(guards: SpreadGuards) -> (usize, bool) {
+fn search_replication(guards: ReplicationGuards) -> (usize, bool) {
     let count = Cell::new(0);
-    let steps = |state: &SpreadState| {
+    let steps = |state: &ReplicationState| {
         count.set(count.get() + 1);
-        spread_successors(state, guards)
+        replication_successors(state, guards)
     };
-    let found = bfs(&spread_start(), steps, |state| state.reverted || state.took_stale).is_some();
+    let found = bfs(&replication_start(), steps, |state| state.reverted || state.took_stale).is_some();
     (count.get(), found)
 }
 
 #[gtest]
 fn no_node_reverts_or_takes_a_stale_value_in_any_reachable_state() {
-    let (states, violated) = search_spread(SpreadGuards { order: true, query_peers: true });
-    println!("{states} states of the spread");
+    let (states, violated) = search_replication(ReplicationGuards { order: true, query_peers: true });
+    println!("{states} states of the replication");
     expect_that!(violated, eq(false));
     expect_that!(states, gt(500));
 }
 
 #[gtest]
 fn dropping_any_guard_of_replication_violates_the_invariant() {
-    expect_that!(search_spread(SpreadGuards { order: false, query_peers: true }).1, eq(true));
-    expect_that!(search_spread(SpreadGuards { order: true, query_peers: false }).1, eq(true));
+    expect_that!(search_replication(ReplicationGuards { order: false, query_peers: true }).1, eq(true));
+    expect_that!(search_replication(ReplicationGuards { order: true, query_peers: false }).1, eq(true));
 }
--- a/crates/pointvane-mesh/tests/restart.rs
+++ b/crates/pointvane-mesh/tests/restart.rs
@@ -11,7 +11,7 @@
 
 fn member(name: &str, last_byte: u8, incarnation: u64, seeds: &[SocketAddr]) -> (Membership, SocketAddr) {
     let address = SocketAddr::from(([10, 0, 0, last_byte], 7_001));
-    let me = MemberRow {
+    let local_row = MemberRow {
         identity: VmIdentity {
             name: name.into(),
             data_centre: "one".into(),
@@ -27,7 +27,7 @@
         link_mbps: 0,
     };
     let options = MembershipOptions { seeds: seeds.to_vec(), ..MembershipOptions::default() };
-    (Membership::new(options, me, u64::from(last_byte), 0), address)
+    (Membership::new(options, local_row, u64::from(last_byte), 0), address)
 }
 
 /// Lets two members exchange datagrams for a time, without loss.
--- a/crates/pointvane-mesh/tests/many/mod.rs
+++ b/crates/pointvane-mesh/tests/simulation/mod.rs
@@ -73,7 +73,8 @@
     fn send(&mut self, from: usize, actions: Vec<Action>) {
         for action in actions {
             let Action::Send { to, message } = action else { continue };
-            self.bytes += (codec::encode(&*message).map_or(0, |b| b.len()) + codec::UDP_HEAD_BYTES) as u64;
+            self.bytes +=
+                (codec::encode(&*message).map_or(0, |b| b.len()) + codec::IP_UDP_HEADER_BYTES) as u64;
             let target = node_of(to);
             if self.partition[from] == self.partition[target] && self.rng.random::<f64>() >= self.loss {
                 self.in_flight.push((target, address(from), *message));
@@ -108,12 +109,12 @@
     pub fn fetch_known_revision(&mut self, revision: u64) -> usize {
         for node in 0..self.nodes.len() {
             let is_known = self.nodes[node].rows().any(|row| row.stamp.revision >= revision);
-            let has = self.nodes[node].me().stamp.revision >= revision;
+            let has = self.nodes[node].local_row().stamp.revision >= revision;
             if self.running[node] && is_known && !has {
                 self.set_revision(node, revision);
             }
         }
-        self.nodes.iter().filter(|node| node.me().stamp.revision >= revision).count()
+        self.nodes.iter().filter(|node| node.local_row().stamp.revision >= revision).count()
     }
 }
 
--- a/crates/pointvane-mesh/tests/wire_format.rs
+++ b/crates/pointvane-mesh/tests/wire_format.rs
@@ -6,8 +6,8 @@
     pointvane_core::{Incarnation, Name, Observation, ObservedLimit, VmIdentity, VmState},
     pointvane_mesh::{
         EntryReport, EntryRow, FeedHello, FeedRole, FeedUpdate, GossipMessage, ListedVm, LoadDatagram,
-        LoadMessage, MemberRow, Payload, PeerAnswer, PeerRequest, ServiceLimits, ServiceLoad, Stamp, Stamps,
-        Stored, VmList, codec,
+        LoadMessage, MemberRow, Payload, PeerAnswer, PeerRequest, ServiceLimits, ServiceLoad, Stamp,
+        StampedValue, Stamps, VmList, codec,
     },
     serde::{Serialize, de::DeserializeOwned},
     std::fmt::Write,
@@ -58,8 +58,8 @@
     GossipMessage { from: row(VmState::Live, None), stamps, payload, rows }
 }
 
-fn stored() -> Stored {
-    Stored { stamp: Stamp { revision: 5, index: 700 }, value: vec![1, 2, 255] }
+fn stamped() -> StampedValue {
+    StampedValue { stamp: Stamp { revision: 5, index: 700 }, value: vec![1, 2, 255] }
 }
 
 #[gtest]
@@ -78,14 +78,14 @@
     lines.add("peer-request-configuration", &PeerRequest::Configuration);
     lines.add("peer-request-vm-list", &PeerRequest::VmList);
     lines.add("peer-request-rows", &PeerRequest::Rows(vec![v6]));
-    lines.add("peer-answer-value", &PeerAnswer::Value(Some(stored())));
+    lines.add("peer-answer-value", &PeerAnswer::Value(Some(stamped())));
     lines.add("peer-answer-no-value", &PeerAnswer::Value(None));
     lines.add("peer-answer-rows", &PeerAnswer::Rows(vec![row(VmState::Live, None)]));
     lines.add("hello-entry", &FeedHello { role: FeedRole::Entry });
     lines.add("hello-locate", &FeedHello { role: FeedRole::Locate });
     lines.add("hello-peer", &FeedHello { role: FeedRole::Peer });
     lines.add("entry-report", &EntryReport { incarnation: Incarnation(77), requests: 300, leaving: true });
-    lines.add("update-configuration", &FeedUpdate::Configuration(stored()));
+    lines.add("update-configuration", &FeedUpdate::Configuration(stamped()));
     lines.add("update-members", &FeedUpdate::Members(vec![row(VmState::Live, Some(entry))]));
     let vms = vec![ListedVm { name: "entry-3".into(), leaving: true }];
     lines.add("update-vm-list", &FeedUpdate::VmList(VmList { vms }));
@@ -102,7 +102,7 @@
 
 #[gtest]
 fn a_frame_is_a_four_byte_length_and_the_message() {
-    let frame = codec::frame(&FeedHello { role: FeedRole::Peer }).unwrap();
+    let frame = codec::encode_frame(&FeedHello { role: FeedRole::Peer }).unwrap();
     expect_that!(frame, eq(&vec![0, 0, 0, 2, codec::VERSION, 2]));
     expect_that!(codec::VERSION, eq(1));
     expect_that!(codec::DATAGRAM_LIMIT_BYTES, eq(1_400));
--- a/crates/pointvane-node/src/fleet.rs
+++ b/crates/pointvane-node/src/fleet.rs
@@ -220,7 +220,7 @@
             position: relay_position(&row.identity),
             node: SocketAddr::new(row.identity.address, row.control_port + port_offset),
         });
-        let own = relay_position(&membership.me().identity);
+        let own = relay_position(&membership.local_row().identity);
         let mut peers: Vec<_> = peers.collect();
         let fan_out = fan_out(peers.len());
         forwarders(segment, own, &mut peers, fan_out, &mut self.rng.borrow_mut())
@@ -250,7 +250,7 @@
         seeds: settings.seeds.clone(),
         ..MembershipOptions::default()
     };
-    let me = MemberRow {
+    let local_row = MemberRow {
         identity: VmIdentity {
             name: settings.name.clone(),
             data_centre: settings.data_centre.clone(),
@@ -265,5 +265,5 @@
         stamp: Stamp::default(),
         link_mbps: settings.link_mbps,
     };
-    Membership::new(options, me, seed, now_us)
+    Membership::new(options, local_row, seed, now_us)
 }
--- a/crates/pointvane-node/src/fleet/limit_peers.rs
+++ b/crates/pointvane-node/src/fleet/limit_peers.rs
@@ -29,10 +29,11 @@
             return LimitRank::last_of(NODES_MAX);
         }
         let membership = self.membership.borrow();
-        let me = membership.me();
-        let own = rank(upstream.as_str(), &me.identity.name);
-        let others =
-            || membership.rows().filter(|row| row.identity.name != me.identity.name && shares_limits(row));
+        let local_row = membership.local_row();
+        let own = rank(upstream.as_str(), &local_row.identity.name);
+        let others = || {
+            membership.rows().filter(|row| row.identity.name != local_row.identity.name && shares_limits(row))
+        };
         let limit_rank = others().filter(|row| rank(upstream.as_str(), &row.identity.name) > own).count();
         LimitRank {
             rank: limit_rank,
--- a/crates/pointvane-node/src/fleet/quarantine_peers.rs
+++ b/crates/pointvane-node/src/fleet/quarantine_peers.rs
@@ -30,7 +30,8 @@
     /// the same for all queries and bodies of a request.
     pub fn trial_position(&self, request: HeadFingerprint) -> TrialPosition {
         let membership = self.membership.borrow();
-        let position = rank(&request.to_string(), &membership.me().identity.name) as f64 / u64::MAX as f64;
+        let position =
+            rank(&request.to_string(), &membership.local_row().identity.name) as f64 / u64::MAX as f64;
         let nodes = membership.rows().filter(|row| row.state != VmState::Dead).count();
         TrialPosition { position, nodes }
     }
--- a/crates/pointvane-node/src/fleet/quota_peers.rs
+++ b/crates/pointvane-node/src/fleet/quota_peers.rs
@@ -63,7 +63,7 @@
     /// The nodes that coordinate an account.
     pub fn coordinators(&self, account: &Name) -> Vec<CoordinatorNode> {
         let membership = self.membership.borrow();
-        let own = &membership.me().identity.name;
+        let own = &membership.local_row().identity.name;
         let mut live: Vec<_> = membership.rows().filter(|row| row.state == VmState::Live).collect();
         live.sort_by_cached_key(|row| Reverse(rank(account.as_str(), &row.identity.name)));
         let node = |row: &MemberRow| match row.identity.name == *own {
@@ -75,7 +75,7 @@
 
     /// The address at which this node receives quota messages.
     pub fn own_quota_address(&self) -> SocketAddr {
-        quota_address(self.membership.borrow().me())
+        quota_address(self.membership.borrow().local_row())
     }
 
     /// The nodes to forward shares of accounts to.
--- a/crates/pointvane-node/src/quarantine_loop.rs
+++ b/crates/pointvane-node/src/quarantine_loop.rs
@@ -84,7 +84,7 @@
     let others = node.fleet.size() - 1;
     let peers_wanted = if others <= DIRECT_SEND_MAX { others } else { FAN_OUT };
     let Some(bytes) = encode(&QuarantineMessage::Reports(updates)) else { return };
-    let peers = budget.take(bytes.len() + codec::UDP_HEAD_BYTES, peers_wanted, node.now_us());
+    let peers = budget.take(bytes.len() + codec::IP_UDP_HEADER_BYTES, peers_wanted, node.now_us());
     for peer in node.fleet.sample_quarantine_peers(peers) {
         node.fleet.send_quarantine_update(&bytes, peer);
     }
--- a/crates/pointvane-node/src/reader_roles.rs
+++ b/crates/pointvane-node/src/reader_roles.rs
@@ -17,7 +17,7 @@
 
 /// This node's role in reading the platform for the fleet.
 pub fn role(membership: &Membership) -> ReaderRole {
-    match position(membership, &membership.me().identity.name) {
+    match position(membership, &membership.local_row().identity.name) {
         Some(position) if position < WATCHERS => ReaderRole::Watcher,
         Some(_) => ReaderRole::Standby,
         None => ReaderRole::Follower,
@@ -33,7 +33,7 @@
         (position.is_none(), position, row.control_address())
     };
     let other = membership.rows().skip(1).find(|row| row.control_address() == origin);
-    other.is_some_and(|other| order(other) < order(membership.me()))
+    other.is_some_and(|other| order(other) < order(membership.local_row()))
 }
 
 /// The index of a node among the selected readers; `None` if it is not one of them.
--- a/crates/pointvane-node/src/replica/state_query.rs
+++ b/crates/pointvane-node/src/replica/state_query.rs
@@ -136,7 +136,7 @@
     let encoded = || {
         let reply = node.platform.state().answer(request, node, now_us)?;
         // A response that exceeds the frame size is not sent.
-        let frame = Rc::new(codec::packed_frame(&reply).ok()?);
+        let frame = Rc::new(codec::compressed_frame(&reply).ok()?);
         if is_full {
             node.platform.share_answer(request.known, &frame);
         }
@@ -209,13 +209,13 @@
         StateOffer::Reading => return Ok(Err(QueryError::Reading)),
         StateOffer::State { age_ms } => age_ms,
     };
-    let reply: StateReply = codec::unpacked(&read_frame(stream).await?).map_err(io::Error::other)?;
+    let reply: StateReply = codec::decode_compressed(&read_frame(stream).await?).map_err(io::Error::other)?;
     // The frame may have been encoded earlier for another node, so its age is sent separately.
     Ok(Ok(reply.with_age(age_ms)))
 }
 
 async fn write_frame<T: Serialize>(stream: &mut TcpStream, message: &T) -> io::Result<()> {
-    let frame = codec::frame(message).map_err(io::Error::other)?;
+    let frame = codec::encode_frame(message).map_err(io::Error::other)?;
     stream.write_all(&frame).await
 }
 
--- a/standins/tests/thin_links.rs
+++ b/standins/tests/thin_links.rs
@@ -109,8 +109,8 @@
     let mark = ReadMark { revision: 50, version: 6 };
     let configuration = ConfigurationUpdate::Whole(Box::new(large_configuration()));
     let reply = StateReply::new(mark, 0, true, Vec::<Change>::new(), Some(configuration));
-    let offer = codec::frame(&StateOffer::State { age_ms: 0 }).unwrap();
-    let response = [offer, codec::packed_frame(&reply).unwrap()].concat();
+    let offer = codec::encode_frame(&StateOffer::State { age_ms: 0 }).unwrap();
+    let response = [offer, codec::compressed_frame(&reply).unwrap()].concat();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let Ok(_) = codec::read_frame::<StateRequest>(&mut stream) else { continue };
--- a/standins/tests/whole_states.rs
+++ b/standins/tests/whole_states.rs
@@ -41,7 +41,7 @@
     socket.connect(&SocketAddr::from((node.ip, QUERY_PORT)).into()).unwrap();
     let mut stream = TcpStream::from(socket);
     let request = StateRequest { known: ReadMark::default() };
-    stream.write_all(&codec::frame(&request).unwrap()).unwrap();
+    stream.write_all(&codec::encode_frame(&request).unwrap()).unwrap();
     stream
 }
 
