--- a/crates/pointvane-control/src/reader.rs
+++ b/crates/pointvane-control/src/reader.rs
@@ -4,7 +4,7 @@
     crate::{state::State, value::ValueKind},
     pointvane_config::unpack,
     pointvane_core::{Name, Platform, PlatformReading},
-    pointvane_mesh::{Offer, Stamp, Stored},
+    pointvane_mesh::{Offer, Stamp, StampedValue},
     pointvane_telemetry::EventKind,
     rand::Rng,
     std::{thread, time::Duration},
@@ -74,7 +74,7 @@
     fn set_platform_lost(&mut self, lost: bool) {
         // Both values come from the same platform, so only the reader of the configuration logs the event.
         if self.platform_lost != lost && self.kind == ValueKind::Configuration {
-            self.state.events.note(if lost { EventKind::PlatformLost } else { EventKind::PlatformBack });
+            self.state.events.record(if lost { EventKind::PlatformLost } else { EventKind::PlatformBack });
         }
         self.platform_lost = lost;
     }
@@ -83,7 +83,7 @@
         if reading.index < self.index && self.kind == ValueKind::Configuration {
             // The platform was restored from an older backup. The current configuration stays in force until
             // one with a larger revision is published.
-            self.state.events.note(EventKind::PlatformWentBack { from: self.index, to: reading.index });
+            self.state.events.record(EventKind::PlatformWentBack { from: self.index, to: reading.index });
         }
         let unchanged = reading.index == self.index;
         self.index = reading.index;
@@ -101,6 +101,6 @@
             },
         };
         let stamp = Stamp { revision, index: reading.index };
-        self.state.offer(self.kind, Offer::Platform(Stored { stamp, value }));
+        self.state.offer(self.kind, Offer::Platform(StampedValue { stamp, value }));
     }
 }
